--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from tamarackrill.decisions.admission import Action, Refuse, Start
-from tamarackrill.decisions.fairness import Lane
+from tamarackrill.decisions.fairness import SizeClass
 from tamarackrill.decisions.waiting import WaitingRequest
 
 # A usual quantum: about one mean request.
@@ -33,7 +33,7 @@
         self._waiting[request.id] = None
         return []
 
-    def take(self, pool_name: str, slots_free: int, now_s: float) -> list[Action]:
+    def dispatch(self, pool_name: str, slots_free: int, now_s: float) -> list[Action]:
         """Start the oldest requests."""
         ids = list(self._waiting)[:slots_free] if slots_free > 0 else []
         for request_id in ids:
@@ -56,7 +56,7 @@
 
 
 class DeficitRoundRobin:
-    """Deficit round robin in the form of `FairShares`.
+    """Deficit round robin in the form of `FairScheduler`.
 
     A team is served while its credit is above 0, and gets a quantum times its
     weight when its turn comes round.  Credit may go below 0 by one request, so
@@ -64,7 +64,7 @@
     """
 
     def __init__(self) -> None:
-        self._lanes: dict[Lane, deque[str]] = {
+        self._queues: dict[SizeClass, deque[str]] = {
             "any": deque(),
             "short": deque(),
             "long": deque(),
@@ -72,17 +72,17 @@
         self._credit: dict[str, float] = {}
         self._weights: dict[str, float] = {}
 
-    def join(self, team: str, lane: Lane) -> None:
-        """Let `team` take its turn in `lane`."""
-        if team not in self._lanes[lane]:
-            self._lanes[lane].append(team)
-            if lane == "any":
+    def join(self, team: str, size_class: SizeClass) -> None:
+        """Let `team` take its turn in `size_class`."""
+        if team not in self._queues[size_class]:
+            self._queues[size_class].append(team)
+            if size_class == "any":
                 self._credit[team] = 0.0
 
-    def leave(self, team: str, lane: Lane) -> None:
-        """Take `team` out of `lane`."""
-        self._lanes[lane].remove(team)
-        if lane == "any":
+    def leave(self, team: str, size_class: SizeClass) -> None:
+        """Take `team` out of `size_class`."""
+        self._queues[size_class].remove(team)
+        if size_class == "any":
             del self._credit[team]
 
     def serve(self, team: str, cost: float, weight: float) -> None:
@@ -95,22 +95,22 @@
         if team in self._credit:
             self._credit[team] -= cost
 
-    def forget_idle(self) -> None:
+    def remove_idle(self) -> None:
         """Do nothing: no idle team is remembered."""
 
-    def find_first(self, lane: Lane) -> str | None:
+    def find_first(self, size_class: SizeClass) -> str | None:
         """Return the team whose turn it is, going round until one has credit."""
-        line = self._lanes[lane]
+        line = self._queues[size_class]
         while line and self._credit[line[0]] <= 0:
             team = line[0]
             self._credit[team] += QUANTUM_TOKENS * self._weights.get(team, 1.0)
             line.rotate(-1)
         return line[0] if line else None
 
-    def count_before(self, team: str, lane: Lane) -> int:
+    def count_teams_ahead(self, team: str, size_class: SizeClass) -> int:
         """Return how many teams wait: each may have its turn before."""
-        return len(self._lanes[lane])
+        return len(self._queues[size_class])
 
     def list_in_order(self) -> list[str]:
         """Return the teams that wait."""
-        return list(self._lanes["any"])
+        return list(self._queues["any"])
--- a/bench/fair_queueing.py
+++ b/bench/fair_queueing.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from baselines import DeficitRoundRobin
-from tamarackrill.decisions.fairness import FairShares
+from tamarackrill.decisions.fairness import FairScheduler
 
 WAYS: dict[str, Callable[[], Any]] = {
-    "start_time_fair_queueing": FairShares,
+    "start_time_fair_queueing": FairScheduler,
     "deficit_round_robin": DeficitRoundRobin,
 }
 TEAM_COUNTS = (10, 100, 1000, 2300)
@@ -31,12 +31,12 @@
     tokens of work for each team, the worst team's service by weight is compared
     with the mean.  A team that comes in is served after so many tokens of others.
     """
-    shares = way()
+    scheduler = way()
     names = [f"t{i}" for i in range(teams)]
     weights = {name: 3.0 if i % 4 == 0 else 1.0 for i, name in enumerate(names)}
     costs = {name: itertools.cycle(COSTS) for name in names}
     for i, name in enumerate(names):
-        shares.join(name, "any")
+        scheduler.join(name, "any")
         for _ in range(i % len(COSTS)):
             next(costs[name])
     worst = []
@@ -46,16 +46,16 @@
         done: Counter[str] = Counter()
         total = 0
         while total < WINDOW_TOKENS_PER_TEAM * teams:
-            team = shares.find_first("any")
+            team = scheduler.find_first("any")
             cost = next(costs[team])
-            shares.serve(team, cost, weights[team])
+            scheduler.serve(team, cost, weights[team])
             done[team] += cost
             total += cost
             decisions += 1
         mean = total / sum(weights.values())
         worst.append(min(done[name] / weights[name] for name in names) / mean)
     took_s = time.perf_counter() - started_s
-    waits = [_measure_entry(shares, costs, weights) for _ in range(20)]
+    waits = [_measure_entry(scheduler, costs, weights) for _ in range(20)]
     return {
         "worst_share": round(min(worst), 3),
         "entry_wait_mean_tokens": round(sum(waits) / len(waits)),
@@ -65,19 +65,19 @@
 
 
 def _measure_entry(
-    shares: Any, costs: dict[str, Any], weights: dict[str, float]
+    scheduler: Any, costs: dict[str, Any], weights: dict[str, float]
 ) -> int:
-    shares.join("new", "any")
+    scheduler.join("new", "any")
     waited = 0
-    while (team := shares.find_first("any")) != "new":
+    while (team := scheduler.find_first("any")) != "new":
         cost = next(costs[team])
-        shares.serve(team, cost, weights[team])
+        scheduler.serve(team, cost, weights[team])
         waited += cost
-    shares.serve("new", 200, 1.0)
-    shares.leave("new", "any")
+    scheduler.serve("new", 200, 1.0)
+    scheduler.leave("new", "any")
     for _ in range(len(costs)):
-        team = shares.find_first("any")
-        shares.serve(team, next(costs[team]), weights[team])
+        team = scheduler.find_first("any")
+        scheduler.serve(team, next(costs[team]), weights[team])
     return waited
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -23,7 +23,7 @@
 from tamarackrill.decisions.usage import (
     DIGEST_OVERHEAD_BYTES,
     ENTRY_BYTES,
-    RouterPlace,
+    RouterLocation,
     UsageDigest,
     UsageExchange,
 )
@@ -52,7 +52,7 @@
     def __init__(self, count: int, contracts: dict[str, Contract]) -> None:
         self.contracts = contracts
         self.places = [
-            RouterPlace(f"router-{i}", f"zone-{i % ZONES}") for i in range(count)
+            RouterLocation(f"router-{i}", f"zone-{i % ZONES}") for i in range(count)
         ]
         self.nodes = {
             place.name: Node(
@@ -72,7 +72,7 @@
         self.set_routers(lambda node: self.places, 0.0)
 
     def set_routers(
-        self, see: Callable[[Node], list[RouterPlace]], now_s: float
+        self, see: Callable[[Node], list[RouterLocation]], now_s: float
     ) -> None:
         """Tell each router whom it takes to be live."""
         for node in self.nodes.values():
@@ -81,10 +81,10 @@
     def admit(self, name: str, team: str, now_s: float) -> str:
         """Offer one request at a router; returns the limit it is over, or ''."""
         node = self.nodes[name]
-        verdict = node.limits.admit(self.contracts[team], 10.0, now_s)
-        if verdict.admitted:
+        decision = node.limits.admit(self.contracts[team], 10.0, now_s)
+        if decision.admitted:
             self.ending.append((now_s + SERVICE_S, name, team))
-        return verdict.limit
+        return decision.limit
 
     def end_requests(self, now_s: float) -> None:
         """End the requests whose time has come."""
@@ -107,7 +107,7 @@
                 own = node.limits.list_usage(now_s)
                 for digest in node.exchange.collect(own, now_s, BUDGET_BYTES_PER_S):
                     self.mail.append((node.name, digest))
-            for others in node.exchange.take_heard():
+            for others in node.exchange.drain_updates():
                 node.limits.observe_others(others, now_s)
 
     def is_cut(self, first: str, second: str) -> bool:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -15,7 +15,7 @@
 
 from baselines import FifoQueue
 from tamarackrill.decisions.admission import AdmissionQueue
-from tamarackrill.decisions.estimates import count_cost, is_short
+from tamarackrill.decisions.estimates import compute_cost, is_short
 from tamarackrill.decisions.waiting import WaitingRequest
 from tamarackrill.testing.load import (
     SLOT_TOKENS_PER_S,
@@ -52,7 +52,7 @@
         (LONG_TOKENS, LONG_PATIENCE_S, 1.0 - SHORT_SHARE),
         (SHORT_TOKENS, SHORT_PATIENCE_S, SHORT_SHARE),
     ):
-        rate = load * share * SLOTS * SLOT_TOKENS_PER_S / count_cost(size_tokens)
+        rate = load * share * SLOTS * SLOT_TOKENS_PER_S / compute_cost(size_tokens)
         calls += make_calls(
             team, rate, from_s, to_s, size_tokens, patience_s, retries=RETRIES
         )
@@ -64,7 +64,7 @@
     row: dict[str, Any] = {}
     kept = [o for o in outcomes if from_s <= o.ended_s < to_s]
     answered = [o for o in kept if o.result == "answered"]
-    work = sum(count_cost(o.call.size_tokens) for o in answered)
+    work = sum(compute_cost(o.call.size_tokens) for o in answered)
     row["goodput"] = round(work / SLOT_TOKENS_PER_S / SLOTS / (to_s - from_s), 3)
     for kind in ("short", "long"):
         of_kind = [o for o in kept if is_short(o.call.size_tokens) == (kind == "short")]
@@ -91,7 +91,7 @@
 
 def _sum_asked(outcomes: Iterable[Outcome]) -> float:
     asked = [
-        count_cost(o.call.size_tokens)
+        compute_cost(o.call.size_tokens)
         for o in outcomes
         if o.attempt == 0 and WARM_UP_S <= o.ended_s < RUN_S
     ]
@@ -172,7 +172,7 @@
     for i in range(rounds):
         request = _make_request(2 * teams + i, teams)
         queue.offer(request, 1.0)
-        for action in queue.take("p", 1, 1.0):
+        for action in queue.dispatch("p", 1, 1.0):
             queue.release(action.request_id, 20.0)
     decision_s = (time.perf_counter() - started_s) / rounds
     started_s = time.perf_counter()
--- a/src/tamarackrill/decisions/admission.py
+++ b/src/tamarackrill/decisions/admission.py
@@ -24,7 +24,7 @@
 from heapq import merge
 from typing import Literal, NamedTuple
 
-from tamarackrill.decisions.estimates import count_cost, is_short
+from tamarackrill.decisions.estimates import compute_cost, is_short
 from tamarackrill.decisions.waiting import Entry, Pool, Running, WaitingRequest
 
 # Order inside a team: a request may be overtaken by work that arrives up to its own
@@ -89,7 +89,7 @@
         Returns
         -------
         list of Refuse
-            Empty if `request` waits and nobody had to make room.  Call `take`
+            Empty if `request` waits and nobody had to make room.  Call `dispatch`
             next: there may be a free slot.
         """
         pool = self._pools.setdefault(request.pool, Pool())
@@ -115,7 +115,7 @@
         self._waiting[request.id] = entry
         return refusals
 
-    def take(self, pool_name: str, slots_free: int, now_s: float) -> list[Action]:
+    def dispatch(self, pool_name: str, slots_free: int, now_s: float) -> list[Action]:
         """Start as many requests as there are free slots.
 
         Parameters
@@ -138,11 +138,11 @@
             return actions
         pool.slots = len(pool.running) + slots_free
         while slots_free > 0 and pool.waiting:
-            lane = pool.choose_lane(now_s)
-            team = pool.shares.find_first(lane)
+            size_class = pool.choose_lane(now_s)
+            team = pool.scheduler.find_first(size_class)
             if team is None:
                 break
-            entry = pool.teams[team].find_first(lane)
+            entry = pool.teams[team].find_first(size_class)
             late_s = _estimate_late_s(pool, entry, 0.0, now_s)
             if late_s <= 0:
                 self._start(pool, entry, now_s)
@@ -180,8 +180,8 @@
         request, cost, started_s = pool.running.pop(request_id)
         short = is_short(request.size_tokens)
         pool.running_long -= not short
-        real_cost = cost if size_tokens is None else count_cost(size_tokens)
-        pool.shares.charge(request.team, real_cost - cost, request.weight)
+        real_cost = cost if size_tokens is None else compute_cost(size_tokens)
+        pool.scheduler.charge(request.team, real_cost - cost, request.weight)
         if completed:
             pool.estimate.observe(real_cost, now_s - started_s, now_s, short)
 
@@ -190,7 +190,7 @@
         refusals = []
         for pool in self._pools.values():
             refusals += self._expire_pool(pool, now_s)
-            pool.shares.forget_idle()
+            pool.scheduler.remove_idle()
             for team in [t for t, at_s in pool.bookings.items() if at_s <= now_s]:
                 del pool.bookings[team]
         return refusals
@@ -211,7 +211,7 @@
         """Return what an answer of this length may need; 0 if nothing is known."""
         pool = self._pools.get(pool_name)
         return (
-            pool.estimate.estimate_service_s(count_cost(size_tokens)) if pool else 0.0
+            pool.estimate.estimate_service_s(compute_cost(size_tokens)) if pool else 0.0
         )
 
     def count_waiting(self, pool_name: str) -> int:
@@ -231,7 +231,7 @@
 
     def _make_entry(self, request: WaitingRequest) -> Entry:
         self._sequence += 1
-        cost = count_cost(request.size_tokens)
+        cost = compute_cost(request.size_tokens)
         order_s = (
             request.arrived_s
             + AGEING_S_PER_TOKEN * cost
@@ -249,7 +249,7 @@
 
     def _start(self, pool: Pool, entry: Entry, now_s: float) -> None:
         request = entry.request
-        pool.shares.serve(request.team, entry.cost, request.weight)
+        pool.scheduler.serve(request.team, entry.cost, request.weight)
         self._remove_waiting(pool, entry)
         pool.running[request.id] = Running(request, entry.cost, now_s)
         pool.running_long += not is_short(request.size_tokens)
--- a/src/tamarackrill/decisions/estimates.py
+++ b/src/tamarackrill/decisions/estimates.py
@@ -28,7 +28,7 @@
 LONG_SHARE_MIN = 0.25
 
 
-def count_cost(size_tokens: float) -> float:
+def compute_cost(size_tokens: float) -> float:
     """Return the cost of a request, in tokens of slot time."""
     return max(size_tokens, 0.0) + REQUEST_OVERHEAD_TOKENS
 
--- a/src/tamarackrill/decisions/fairness.py
+++ b/src/tamarackrill/decisions/fairness.py
@@ -14,7 +14,7 @@
 from bisect import bisect_left, insort
 from typing import Literal, NamedTuple
 
-Lane = Literal["any", "short", "long"]
+SizeClass = Literal["any", "short", "long"]
 
 
 class _Place(NamedTuple):
@@ -23,7 +23,7 @@
     team: str
 
 
-class FairShares:
+class FairScheduler:
     """Whose turn it is, by weight.
 
     A team stands in lane ``"any"`` while it has work waiting, and also in the lanes
@@ -35,24 +35,28 @@
         self._virtual = 0.0
         self._sequence = 0
         self._places: dict[str, _Place] = {}
-        self._lanes: dict[Lane, list[_Place]] = {"any": [], "short": [], "long": []}
-
-    def join(self, team: str, lane: Lane) -> None:
-        """Let `team` take its turn in `lane`; does nothing if it stands there."""
+        self._queues: dict[SizeClass, list[_Place]] = {
+            "any": [],
+            "short": [],
+            "long": [],
+        }
+
+    def join(self, team: str, size_class: SizeClass) -> None:
+        """Let `team` take its turn in `size_class`; does nothing if it stands there."""
         place = self._places.get(team)
         if place is None or not self._is_standing(place, "any"):
             place = self._make_place(
                 team, max(place.tag if place else 0.0, self._virtual)
             )
-        if not self._is_standing(place, lane):
-            insort(self._lanes[lane], place)
+        if not self._is_standing(place, size_class):
+            insort(self._queues[size_class], place)
 
-    def leave(self, team: str, lane: Lane) -> None:
-        """Take `team` out of `lane`; it keeps what it owes until others caught up."""
+    def leave(self, team: str, size_class: SizeClass) -> None:
+        """Remove `team` from `size_class`; its tag is kept until others catch up."""
         place = self._places[team]
-        line = self._lanes[lane]
+        line = self._queues[size_class]
         del line[bisect_left(line, place)]
-        if not self._lanes["any"]:
+        if not self._queues["any"]:
             # Nobody waits: whoever comes next starts even, and the tags of teams
             # that are gone would otherwise stay in memory for good.
             self._places.clear()
@@ -61,7 +65,7 @@
     def serve(self, team: str, cost: float, weight: float) -> None:
         """Charge `team` for work that starts now, and move virtual time on."""
         place = self._places[team]
-        line = self._lanes["any"]
+        line = self._queues["any"]
         # Not the tag of the served team: short work may overtake a team whose long
         # work has no slot, and that team must not lose its place by it.
         self._virtual = max(self._virtual, min(line[0].tag, place.tag))
@@ -72,36 +76,40 @@
         place = self._places.get(team)
         if place is None:
             return
-        lanes = [lane for lane in self._lanes if self._is_standing(place, lane)]
-        for lane in lanes:
-            line = self._lanes[lane]
+        lanes = [
+            size_class
+            for size_class in self._queues
+            if self._is_standing(place, size_class)
+        ]
+        for size_class in lanes:
+            line = self._queues[size_class]
             del line[bisect_left(line, place)]
         moved = self._make_place(team, max(self._virtual, place.tag + cost / weight))
-        for lane in lanes:
-            insort(self._lanes[lane], moved)
+        for size_class in lanes:
+            insort(self._queues[size_class], moved)
 
-    def forget_idle(self) -> None:
+    def remove_idle(self) -> None:
         """Drop teams that wait for nothing and owe nothing."""
         for place in list(self._places.values()):
             if place.tag <= self._virtual and not self._is_standing(place, "any"):
                 del self._places[place.team]
 
-    def find_first(self, lane: Lane) -> str | None:
-        """Return the team whose turn it is, or None if nobody stands in `lane`."""
-        line = self._lanes[lane]
+    def find_first(self, size_class: SizeClass) -> str | None:
+        """Return the team that is served next, or None if none waits."""
+        line = self._queues[size_class]
         return line[0].team if line else None
 
-    def count_before(self, team: str, lane: Lane) -> int:
-        """Return how many teams have their turn in `lane` before `team`."""
+    def count_teams_ahead(self, team: str, size_class: SizeClass) -> int:
+        """Return how many teams have their turn in `size_class` before `team`."""
         place = self._places.get(team)
         if place is None or not self._is_standing(place, "any"):
             tag = max(place.tag if place else 0.0, self._virtual)
             place = _Place(tag, self._sequence + 1, "")
-        return bisect_left(self._lanes[lane], place)
+        return bisect_left(self._queues[size_class], place)
 
     def list_in_order(self) -> list[str]:
         """Return the teams that wait, first turn first."""
-        return [place.team for place in self._lanes["any"]]
+        return [place.team for place in self._queues["any"]]
 
     def _make_place(self, team: str, tag: float) -> _Place:
         self._sequence += 1
@@ -109,7 +117,7 @@
         self._places[team] = place
         return place
 
-    def _is_standing(self, place: _Place, lane: Lane) -> bool:
-        line = self._lanes[lane]
+    def _is_standing(self, place: _Place, size_class: SizeClass) -> bool:
+        line = self._queues[size_class]
         index = bisect_left(line, place)
         return index < len(line) and line[index] == place
--- a/src/tamarackrill/decisions/limits.py
+++ b/src/tamarackrill/decisions/limits.py
@@ -75,7 +75,7 @@
     done_per_s: float = 0.0
 
 
-class Verdict(NamedTuple):
+class LimitDecision(NamedTuple):
     """Whether a request is within its team's limits.
 
     Parameters
@@ -176,7 +176,9 @@
         self._router = router
         self._teams: dict[str, _Team] = {}
 
-    def admit(self, contract: Contract, cost_tokens: float, now_s: float) -> Verdict:
+    def admit(
+        self, contract: Contract, cost_tokens: float, now_s: float
+    ) -> LimitDecision:
         """Decide whether a request is within the limits of its contract.
 
         Parameters
@@ -211,7 +213,7 @@
         team.own_requests.level -= 1.0
         team.own_tokens.level -= cost_tokens
         team.in_flight += 1
-        return Verdict(True)
+        return LimitDecision(True)
 
     def finish(self, name: str, correction_tokens: float, now_s: float) -> None:
         """Take note that an admitted request has ended.
@@ -264,12 +266,12 @@
             most = share * team.burst
             team.fleet_requests.level = min(team.fleet_requests.level, most)
 
-    def list_totals(self, now_s: float) -> list[TeamUsage]:
+    def list_fleet_usage(self, now_s: float) -> list[TeamUsage]:
         """Return the fleet's usage of each team, as this router sees it."""
         teams = self._teams.items()
         return [self._sum_fleet(team, name, now_s) for name, team in teams]
 
-    def read_total(self, name: str, now_s: float) -> TeamUsage | None:
+    def get_fleet_usage(self, name: str, now_s: float) -> TeamUsage | None:
         """Return the fleet's usage as this router sees it, or None if unknown."""
         team = self._teams.get(name)
         return self._sum_fleet(team, name, now_s) if team else None
@@ -293,11 +295,11 @@
 
     def _refuse(
         self, team: _Team, contract: Contract, limit: LimitName, excess: float
-    ) -> Verdict:
+    ) -> LimitDecision:
         team.refusals += 1
         unit = hash_unit(f"{contract.team}/{self._router}/{team.refusals}")
         retry_s = max(RETRY_MIN_S, min(RETRY_MAX_S, excess)) * (0.5 + unit)
-        return Verdict(False, limit, max(RETRY_MIN_S, retry_s))
+        return LimitDecision(False, limit, max(RETRY_MIN_S, retry_s))
 
 
 def measure_pressure(usage: TeamUsage, contract: Contract) -> float:
--- a/src/tamarackrill/decisions/usage.py
+++ b/src/tamarackrill/decisions/usage.py
@@ -71,7 +71,7 @@
 _TICK_SLACK_S = 0.1
 
 
-class RouterPlace(NamedTuple):
+class RouterLocation(NamedTuple):
     """A router and its availability zone."""
 
     name: str
@@ -185,7 +185,7 @@
         self._saved_bytes = 0.0
         self._collected_s = -math.inf
 
-    def set_routers(self, routers: Sequence[RouterPlace], now_s: float) -> None:
+    def set_routers(self, routers: Sequence[RouterLocation], now_s: float) -> None:
         """Replace the list of live routers, this one included."""
         names = tuple(sorted(place.name for place in routers))
         zone_names = tuple(sorted(p.name for p in routers if p.zone == self._zone))
@@ -257,7 +257,7 @@
                 self._heard[usage.team] = usage
                 self._other_routers[usage.team] = usage, now_s
 
-    def take_heard(self) -> list[TeamUsage]:
+    def drain_updates(self) -> list[TeamUsage]:
         """Return what was heard of all other routers since the last call."""
         heard = list(self._heard.values())
         self._heard.clear()
--- a/src/tamarackrill/decisions/waiting.py
+++ b/src/tamarackrill/decisions/waiting.py
@@ -14,7 +14,7 @@
     ServiceEstimate,
     is_short,
 )
-from tamarackrill.decisions.fairness import FairShares, Lane
+from tamarackrill.decisions.fairness import FairScheduler, SizeClass
 
 
 class WaitingRequest(NamedTuple):
@@ -88,16 +88,16 @@
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
-        self.lines: dict[Lane, list[Entry]] = {"short": [], "long": []}
+        self.lines: dict[SizeClass, list[Entry]] = {"short": [], "long": []}
         self.cost = 0.0
 
     def __len__(self) -> int:
         return sum(map(len, self.lines.values()))
 
-    def find_first(self, lane: Lane) -> Entry:
+    def find_first(self, size_class: SizeClass) -> Entry:
         """Return the request of this lane that goes next."""
-        if lane != "any":
-            return self.lines[lane][0]
+        if size_class != "any":
+            return self.lines[size_class][0]
         return min(line[0] for line in self.lines.values() if line)
 
     def find_last(self) -> Entry:
@@ -135,12 +135,12 @@
 
     def __init__(self) -> None:
         self.teams: dict[str, TeamQueue] = {}
-        self.shares = FairShares()
+        self.scheduler = FairScheduler()
         self.estimate = ServiceEstimate()
         self.running: dict[str, Running] = {}
         self.running_long = 0
         self.slots = 0
-        self.backlogs: dict[Lane, Backlog] = {
+        self.backlogs: dict[SizeClass, Backlog] = {
             "any": Backlog(),
             "short": Backlog(),
             "long": Backlog(),
@@ -155,35 +155,35 @@
 
     def add(self, entry: Entry) -> None:
         """Let a request wait."""
-        request, lane = entry.request, find_lane(entry.request)
+        request, size_class = entry.request, find_lane(entry.request)
         queue = self.teams.get(request.team)
         if queue is None:
             queue = self.teams[request.team] = TeamQueue(request.weight)
             self.weight += queue.weight
-        insort(queue.lines[lane], entry)
+        insort(queue.lines[size_class], entry)
         queue.cost += entry.cost
-        self.shares.join(request.team, "any")
-        self.shares.join(request.team, lane)
+        self.scheduler.join(request.team, "any")
+        self.scheduler.join(request.team, size_class)
         self.backlogs["any"].add(entry.cost, 1)
-        self.backlogs[lane].add(entry.cost, 1)
+        self.backlogs[size_class].add(entry.cost, 1)
 
     def remove(self, entry: Entry) -> None:
         """Take a request out, whether it starts or is refused."""
-        team, lane = entry.request.team, find_lane(entry.request)
+        team, size_class = entry.request.team, find_lane(entry.request)
         queue = self.teams[team]
-        line = queue.lines[lane]
+        line = queue.lines[size_class]
         del line[bisect_left(line, entry)]
         queue.cost -= entry.cost
         self.backlogs["any"].add(entry.cost, -1)
-        self.backlogs[lane].add(entry.cost, -1)
+        self.backlogs[size_class].add(entry.cost, -1)
         if not line:
-            self.shares.leave(team, lane)
+            self.scheduler.leave(team, size_class)
         if not len(queue):
-            self.shares.leave(team, "any")
+            self.scheduler.leave(team, "any")
             self.weight -= queue.weight
             del self.teams[team]
 
-    def choose_lane(self, now_s: float) -> Lane:
+    def choose_lane(self, now_s: float) -> SizeClass:
         """Return which work may have the next free slot."""
         if self.running_long >= self.slots - self.count_reserved(now_s):
             return "short"
@@ -213,7 +213,7 @@
         ):
             return 0.0
         backlog = self.backlogs["any"]
-        before = self.shares.count_before(request.team, "any")
+        before = self.scheduler.count_teams_ahead(request.team, "any")
         own = request.team in self.teams
         weight = self.weight + (0.0 if own else request.weight)
         # What the other teams get meanwhile, if all of them go on waiting; never
@@ -223,18 +223,18 @@
         wait_s = cost / rates.all_tokens_per_s
         return min(wait_s, self._estimate_lane_wait_s(find_lane(request), rates))
 
-    def _estimate_lane_wait_s(self, lane: Lane, rates: Rates) -> float:
+    def _estimate_lane_wait_s(self, size_class: SizeClass, rates: Rates) -> float:
         """Return the wait of the last in a lane that only gets its own slots."""
-        short = lane == "short"
+        short = size_class == "short"
         rate = rates.short_tokens_per_s if short else rates.long_tokens_per_s
-        backlog = self.backlogs[lane]
+        backlog = self.backlogs[size_class]
         return (backlog.cost + backlog.mean_cost) / rate if rate else math.inf
 
     def list_in_order(self) -> list[tuple[str, TeamQueue]]:
         """Return the teams that wait and their queues, first turn first."""
-        return [(team, self.teams[team]) for team in self.shares.list_in_order()]
+        return [(team, self.teams[team]) for team in self.scheduler.list_in_order()]
 
 
-def find_lane(request: WaitingRequest) -> Lane:
+def find_lane(request: WaitingRequest) -> SizeClass:
     """Return the lane that a request waits in, besides ``"any"``."""
     return "short" if is_short(request.size_tokens) else "long"
--- a/src/tamarackrill/router/admitting.py
+++ b/src/tamarackrill/router/admitting.py
@@ -120,7 +120,7 @@
     def _take(self, pool: str, now_s: float) -> None:
         if pool in self._latest:
             free = self._count_free(self._latest[pool]) - self._granted[pool]
-            self._apply(self._queue.take(pool, max(0, free), now_s))
+            self._apply(self._queue.dispatch(pool, max(0, free), now_s))
 
     def _apply(self, actions: Iterable[Action]) -> None:
         for action in actions:
--- a/src/tamarackrill/router/limiting.py
+++ b/src/tamarackrill/router/limiting.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from tamarackrill.contracts import Contract
-from tamarackrill.decisions.limits import FleetLimits, Verdict
-from tamarackrill.decisions.usage import RouterPlace, UsageDigest, UsageExchange
+from tamarackrill.decisions.limits import FleetLimits, LimitDecision
+from tamarackrill.decisions.usage import RouterLocation, UsageDigest, UsageExchange
 from tamarackrill.events import TEAM_LIMITED, log_event
 from tamarackrill.exceptions import Refusal
 from tamarackrill.protocol.usage_codec import (
@@ -76,12 +76,12 @@
     def exchange(self, now_s: float) -> None:
         """Send what is due, and take over what was heard."""
         live = [*self._members.list_live(), self._members.own]
-        places = {RouterPlace(member.name, member.zone) for member in live}
+        places = {RouterLocation(member.name, member.zone) for member in live}
         self._exchange.set_routers(sorted(places), now_s)
         usages = self._limits.list_usage(now_s)
         for digest in self._exchange.collect(usages, now_s, USAGE_BYTES_PER_S):
             self._send_digest(digest)
-        for others in self._exchange.take_heard():
+        for others in self._exchange.drain_updates():
             self._limits.observe_others(others, now_s)
 
     def describe(self) -> dict[str, dict[str, float]]:
@@ -92,7 +92,7 @@
                 "tokens_per_s": round(total.tokens_per_s, 1),
                 "in_flight": total.in_flight,
             }
-            for total in self._limits.list_totals(self._clock())
+            for total in self._limits.list_fleet_usage(self._clock())
         }
 
     def take_datagram(self, datagram: bytes, source: str) -> bool:
@@ -123,14 +123,14 @@
         Refusal
             If the call is over a limit of its contract.
         """
-        verdict = self._limits.admit(call.contract, call.size_tokens, now_s)
-        if not verdict.admitted:
-            self._log(call.team, verdict, now_s)
+        decision = self._limits.admit(call.contract, call.size_tokens, now_s)
+        if not decision.admitted:
+            self._log(call.team, decision, now_s)
             raise Refusal(
-                f"{verdict.limit}_limited",
+                f"{decision.limit}_limited",
                 STATUS_TOO_MANY,
-                _MESSAGES[verdict.limit],
-                retry_after_s=verdict.retry_after_s,
+                _MESSAGES[decision.limit],
+                retry_after_s=decision.retry_after_s,
             )
 
     def end(self, call: Call, reply: Reply, now_s: float) -> None:
@@ -142,17 +142,17 @@
             length_tokens = reply.count if call.stream else call.size_tokens
         self._limits.finish(call.team, length_tokens - call.size_tokens, now_s)
 
-    def _log(self, team: str, verdict: Verdict, now_s: float) -> None:
-        key = team, verdict.limit
+    def _log(self, team: str, decision: LimitDecision, now_s: float) -> None:
+        key = team, decision.limit
         if now_s - self._logged_s.get(key, -LOG_EVERY_S) < LOG_EVERY_S:
             return
         self._logged_s[key] = now_s
-        total = self._limits.read_total(team, now_s)
+        total = self._limits.get_fleet_usage(team, now_s)
         assert total is not None
         log_event(
             TEAM_LIMITED,
             team=team,
-            limit=verdict.limit,
+            limit=decision.limit,
             fleet_requests_per_s=total.requests_per_s,
             fleet_tokens_per_s=total.tokens_per_s,
             fleet_in_flight=total.in_flight,
--- a/src/tamarackrill/testing/load.py
+++ b/src/tamarackrill/testing/load.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple, Protocol
 
 from tamarackrill.decisions.admission import Action, Refuse, Start
-from tamarackrill.decisions.estimates import count_cost
+from tamarackrill.decisions.estimates import compute_cost
 from tamarackrill.decisions.waiting import WaitingRequest
 
 POOL = "pool"
@@ -24,7 +24,7 @@
     def offer(self, request: WaitingRequest, now_s: float) -> list[Refuse]:
         """Queue or refuse a request."""
 
-    def take(self, pool_name: str, slots_free: int, now_s: float) -> list[Action]:
+    def dispatch(self, pool_name: str, slots_free: int, now_s: float) -> list[Action]:
         """Start requests."""
 
     def release(self, request_id: str, now_s: float) -> None:
@@ -149,7 +149,7 @@
             size_tokens = self.attempts[request_id].call.size_tokens
         else:
             size_tokens = 0.0  # the caller has gone; a baseline starts it all the same
-        service_s = count_cost(size_tokens) / SLOT_TOKENS_PER_S
+        service_s = compute_cost(size_tokens) / SLOT_TOKENS_PER_S
         service_s *= 1.0 + self.random.uniform(-self.spread, self.spread)
         self.push(now_s + service_s, "finish", request_id)
 
@@ -196,7 +196,7 @@
             run.push(now_s + TICK_S, "tick", "")
         else:
             getattr(run, kind)(request_id, now_s)
-        run.apply(queue.take(POOL, run.free, now_s), now_s)
+        run.apply(queue.dispatch(POOL, run.free, now_s), now_s)
     return run.outcomes
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -7,14 +7,14 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tamarackrill.decisions.admission import AdmissionQueue, Start
-from tamarackrill.decisions.estimates import count_cost, is_short
+from tamarackrill.decisions.estimates import compute_cost, is_short
 from tamarackrill.decisions.waiting import WaitingRequest
 from tamarackrill.testing.load import SLOT_TOKENS_PER_S, drive, make_calls
 
 SLOTS = 16
 LONG_TOKENS = 200
 # Long requests a second that keep all slots busy.
-CAPACITY_PER_S = SLOTS * SLOT_TOKENS_PER_S / count_cost(LONG_TOKENS)
+CAPACITY_PER_S = SLOTS * SLOT_TOKENS_PER_S / compute_cost(LONG_TOKENS)
 
 
 def count(outcomes, team=None, since_s=0.0, short=None):
@@ -49,12 +49,12 @@
 
 def learn_speed(queue, service_s=1.0, size_tokens=LONG_TOKENS):
     queue.offer(make_request("first", size_tokens=size_tokens), 0.0)
-    queue.take("p", 1, 0.0)
+    queue.dispatch("p", 1, 0.0)
     queue.release("first", service_s)
 
 
 def start_all(queue, slots, now_s):
-    return [a.request_id for a in queue.take("p", slots, now_s)]
+    return [a.request_id for a in queue.dispatch("p", slots, now_s)]
 
 
 def test_burst_is_answered_in_time_or_refused_at_once():
@@ -135,8 +135,8 @@
 def test_flood_of_short_work_leaves_long_work_its_part():
     # Lookups at ten times what the pool can do, and drafts that are due in twice
     # their own time.  By size and age alone, hardly a draft would be in time.
-    lookups_per_s = 10 * SLOTS * SLOT_TOKENS_PER_S / count_cost(20)
-    drafts_per_s = SLOTS * SLOT_TOKENS_PER_S / count_cost(400)
+    lookups_per_s = 10 * SLOTS * SLOT_TOKENS_PER_S / compute_cost(20)
+    drafts_per_s = SLOTS * SLOT_TOKENS_PER_S / compute_cost(400)
     calls = make_calls("t", lookups_per_s, 0, 150, 20, 5)
     calls += make_calls("t", drafts_per_s, 0, 150, 400, 40)
     outcomes = drive(AdmissionQueue(512), calls, SLOTS, 180)
@@ -149,7 +149,7 @@
     # burst.  They are told times at which the pool can take some of them.
     queue = AdmissionQueue(8)
     learn_speed(queue)
-    queue.take("p", 0, 1.0)
+    queue.dispatch("p", 0, 1.0)
     refusals = []
     for i in range(1000):
         request = make_request(str(i), size_tokens=LONG_TOKENS, deadline_s=4.0)
@@ -166,7 +166,7 @@
     learn_speed(queue, service_s=1.0)
     for id in ("running", "waiting"):
         queue.offer(make_request(id, size_tokens=LONG_TOKENS, deadline_s=10.0), 1.0)
-        queue.take("p", int(id == "running"), 1.0)
+        queue.dispatch("p", int(id == "running"), 1.0)
     assert queue.expire(2.0) == []
     queue.release("running", 6.0)
     assert [r.request_id for r in queue.expire(6.0)] == ["waiting"]
@@ -178,7 +178,7 @@
     queue = AdmissionQueue(8)
     learn_speed(queue)
     queue.offer(make_request("a", deadline_s=60.0, arrived_s=1.0), 1.0)
-    assert queue.take("p", 0, 1.0) == queue.expire(5.0) == []
+    assert queue.dispatch("p", 0, 1.0) == queue.expire(5.0) == []
     assert [refusal.code for refusal in queue.expire(6.0)] == ["no_endpoint"]
 
 
@@ -253,7 +253,7 @@
 
     @rule(slots=st.integers(0, 5))
     def take(self, slots):
-        actions = self.queue.take("p", slots, self.now_s)
+        actions = self.queue.dispatch("p", slots, self.now_s)
         self.end(actions)
         started = sum(isinstance(action, Start) for action in actions)
         assert started <= slots
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,7 @@
 
 from tamarackrill.contracts import Contract
 from tamarackrill.decisions.limits import FleetLimits, TeamUsage
-from tamarackrill.decisions.usage import RouterPlace, UsageExchange
+from tamarackrill.decisions.usage import RouterLocation, UsageExchange
 
 LIMIT_PER_S = 100.0
 LOOSE = Contract("t", (), rate_per_s=1e6, rate_burst=1e6, in_flight_max=10**6)
@@ -24,7 +24,7 @@
 
     def __init__(self, count, contract):
         self.contract = contract
-        self.places = [RouterPlace(f"r{i}", f"z{i % 2}") for i in range(count)]
+        self.places = [RouterLocation(f"r{i}", f"z{i % 2}") for i in range(count)]
         self.limits = [FleetLimits(place.name) for place in self.places]
         self.exchanges = {
             place.name: UsageExchange(place.name, place.zone, lambda _: contract)
@@ -70,7 +70,7 @@
             usage = limits.list_usage(self.now_s)
             sent = exchange.collect(usage, self.now_s, 1000)
             self.mail += [(place.name, digest) for digest in sent]
-            for others in exchange.take_heard():
+            for others in exchange.drain_updates():
                 limits.observe_others(others, self.now_s)
 
 
@@ -154,7 +154,7 @@
     # A router hears of 500 teams at once.  Were all passed on in one go, control
     # traffic would take what the answers need.
     exchange = UsageExchange("r0", "z", lambda team: RATE._replace(team=team))
-    exchange.set_routers([RouterPlace(f"r{i}", "z") for i in range(50)], 0.0)
+    exchange.set_routers([RouterLocation(f"r{i}", "z") for i in range(50)], 0.0)
     usages = [TeamUsage(f"t{i}", "router", "r0", 90, 0, 0) for i in range(500)]
     sent: Counter[int] = Counter()
     told = set()
