--- a/src/tamarackrill/decisions/__init__.py
+++ b/src/tamarackrill/decisions/__init__.py
@@ -1,6 +1,6 @@
-"""Decisions of the fleet, as pure functions and state.
+"""Decision logic of the fleet, as pure functions and state.
 
-No module here touches network, clock or randomness.  State goes in, a message
-goes in, the present time ``now_s`` goes in; actions come out.  The daemon, the
-tests and the benchmarks drive the same functions.
+No module here uses the network, a clock or randomness.  State, messages and the
+current time ``now_s`` are passed in; actions are returned.  The daemon, the tests
+and the benchmarks call the same functions.
 """
--- a/src/tamarackrill/decisions/fairness.py
+++ b/src/tamarackrill/decisions/fairness.py
@@ -1,14 +1,14 @@
 """Start-time fair queueing between the teams that wait for one endpoint pool.
 
 Load pattern: one team surges, or sends much longer work than the others.  Without
-this, the order of arrival decides, and every other team waits behind the surge:
-its callers see waits that grow with somebody else's load.
-
-Each team carries a tag, the virtual time at which its next request may start.
-The team with the lowest tag is served and its tag moves on by cost / weight.  A team
-that was away starts at the present virtual time, so it neither saves up service nor
-pays for having been away.  docs/design/admission.md has the comparison with deficit
-round robin.
+fair queueing, requests are served in order of arrival, and the other teams wait
+behind the surge: their latency grows with another team's load.
+
+Each team has a start tag, the virtual time at which its next request may start.
+The team with the lowest tag is served and its tag advances by cost / weight.  A team
+that was idle resumes at the current virtual time, so it neither accumulates credit
+nor is penalized.  docs/design/admission.md has the comparison with deficit round
+robin.
 """
 
 from bisect import bisect_left, insort
@@ -17,107 +17,109 @@
 SizeClass = Literal["any", "short", "long"]
 
 
-class _Place(NamedTuple):
-    tag: float
+class _Position(NamedTuple):
+    start_tag: float
     sequence: int
     team: str
 
 
 class FairScheduler:
-    """Whose turn it is, by weight.
+    """Weighted fair order in which the teams of a pool are served.
 
-    A team stands in lane ``"any"`` while it has work waiting, and also in the lanes
-    ``"short"`` and ``"long"`` while it has such work.  The lanes share one tag, so
-    that neither can be used to get more than the team's share.
+    A team is queued in class ``"any"`` while it has requests waiting, and also in
+    ``"short"`` and ``"long"`` while it has requests of that class.  The classes share
+    one tag, so that no class can be used to exceed the team's share.
     """
 
     def __init__(self) -> None:
-        self._virtual = 0.0
+        self._virtual_time = 0.0
         self._sequence = 0
-        self._places: dict[str, _Place] = {}
-        self._queues: dict[SizeClass, list[_Place]] = {
+        self._positions: dict[str, _Position] = {}
+        self._queues: dict[SizeClass, list[_Position]] = {
             "any": [],
             "short": [],
             "long": [],
         }
 
     def join(self, team: str, size_class: SizeClass) -> None:
-        """Let `team` take its turn in `size_class`; does nothing if it stands there."""
-        place = self._places.get(team)
-        if place is None or not self._is_standing(place, "any"):
-            place = self._make_place(
-                team, max(place.tag if place else 0.0, self._virtual)
+        """Queue `team` in `size_class` unless it is queued there already."""
+        position = self._positions.get(team)
+        if position is None or not self._is_queued(position, "any"):
+            position = self._set_position(
+                team, max(position.start_tag if position else 0.0, self._virtual_time)
             )
-        if not self._is_standing(place, size_class):
-            insort(self._queues[size_class], place)
+        if not self._is_queued(position, size_class):
+            insort(self._queues[size_class], position)
 
     def leave(self, team: str, size_class: SizeClass) -> None:
         """Remove `team` from `size_class`; its tag is kept until others catch up."""
-        place = self._places[team]
-        line = self._queues[size_class]
-        del line[bisect_left(line, place)]
+        position = self._positions[team]
+        queue = self._queues[size_class]
+        del queue[bisect_left(queue, position)]
         if not self._queues["any"]:
-            # Nobody waits: whoever comes next starts even, and the tags of teams
-            # that are gone would otherwise stay in memory for good.
-            self._places.clear()
-            self._virtual = 0.0
+            # With no team waiting, all tags can be reset; otherwise the tags of teams
+            # that never return would stay in memory.
+            self._positions.clear()
+            self._virtual_time = 0.0
 
     def serve(self, team: str, cost: float, weight: float) -> None:
-        """Charge `team` for work that starts now, and move virtual time on."""
-        place = self._places[team]
-        line = self._queues["any"]
-        # Not the tag of the served team: short work may overtake a team whose long
-        # work has no slot, and that team must not lose its place by it.
-        self._virtual = max(self._virtual, min(line[0].tag, place.tag))
+        """Charge `team` for work that starts now, and advance the virtual time."""
+        position = self._positions[team]
+        queue = self._queues["any"]
+        # Not the tag of the served team: short requests may overtake a team whose
+        # long requests have no slot, and that team must not lose its position.
+        self._virtual_time = max(
+            self._virtual_time, min(queue[0].start_tag, position.start_tag)
+        )
         self.charge(team, cost, weight)
 
     def charge(self, team: str, cost: float, weight: float) -> None:
-        """Move the turn of `team` by `cost`; negative for work that cost less."""
-        place = self._places.get(team)
-        if place is None:
+        """Advance the tag of `team` by `cost`; negative if work cost less."""
+        position = self._positions.get(team)
+        if position is None:
             return
-        lanes = [
-            size_class
-            for size_class in self._queues
-            if self._is_standing(place, size_class)
-        ]
-        for size_class in lanes:
-            line = self._queues[size_class]
-            del line[bisect_left(line, place)]
-        moved = self._make_place(team, max(self._virtual, place.tag + cost / weight))
-        for size_class in lanes:
-            insort(self._queues[size_class], moved)
+        classes = [name for name in self._queues if self._is_queued(position, name)]
+        for size_class in classes:
+            queue = self._queues[size_class]
+            del queue[bisect_left(queue, position)]
+        updated = self._set_position(
+            team, max(self._virtual_time, position.start_tag + cost / weight)
+        )
+        for size_class in classes:
+            insort(self._queues[size_class], updated)
 
     def remove_idle(self) -> None:
-        """Drop teams that wait for nothing and owe nothing."""
-        for place in list(self._places.values()):
-            if place.tag <= self._virtual and not self._is_standing(place, "any"):
-                del self._places[place.team]
+        """Remove teams with nothing waiting whose tag is not ahead of virtual time."""
+        for position in list(self._positions.values()):
+            if position.start_tag <= self._virtual_time and not self._is_queued(
+                position, "any"
+            ):
+                del self._positions[position.team]
 
     def find_first(self, size_class: SizeClass) -> str | None:
         """Return the team that is served next, or None if none waits."""
-        line = self._queues[size_class]
-        return line[0].team if line else None
+        queue = self._queues[size_class]
+        return queue[0].team if queue else None
 
     def count_teams_ahead(self, team: str, size_class: SizeClass) -> int:
-        """Return how many teams have their turn in `size_class` before `team`."""
-        place = self._places.get(team)
-        if place is None or not self._is_standing(place, "any"):
-            tag = max(place.tag if place else 0.0, self._virtual)
-            place = _Place(tag, self._sequence + 1, "")
-        return bisect_left(self._queues[size_class], place)
+        """Return how many teams in `size_class` are served before `team`."""
+        position = self._positions.get(team)
+        if position is None or not self._is_queued(position, "any"):
+            start_tag = max(position.start_tag if position else 0.0, self._virtual_time)
+            position = _Position(start_tag, self._sequence + 1, "")
+        return bisect_left(self._queues[size_class], position)
 
     def list_in_order(self) -> list[str]:
-        """Return the teams that wait, first turn first."""
-        return [place.team for place in self._queues["any"]]
+        """Return the waiting teams in the order in which they are served."""
+        return [position.team for position in self._queues["any"]]
 
-    def _make_place(self, team: str, tag: float) -> _Place:
+    def _set_position(self, team: str, start_tag: float) -> _Position:
         self._sequence += 1
-        place = _Place(tag, self._sequence, team)
-        self._places[team] = place
-        return place
-
-    def _is_standing(self, place: _Place, size_class: SizeClass) -> bool:
-        line = self._queues[size_class]
-        index = bisect_left(line, place)
-        return index < len(line) and line[index] == place
+        position = _Position(start_tag, self._sequence, team)
+        self._positions[team] = position
+        return position
+
+    def _is_queued(self, position: _Position, size_class: SizeClass) -> bool:
+        queue = self._queues[size_class]
+        index = bisect_left(queue, position)
+        return index < len(queue) and queue[index] == position
--- a/src/tamarackrill/decisions/waiting.py
+++ b/src/tamarackrill/decisions/waiting.py
@@ -1,8 +1,8 @@
-"""What waits and runs in one endpoint pool, and how long a wait will be.
+"""Waiting and running requests of one endpoint pool, and estimates of waits.
 
-Load pattern: a queue whose length says nothing about its wait, since the work in it
-differs a thousandfold in length.  Without an estimate in slot time, a deadline can
-only be missed, not foreseen.  `admission` decides with what this module holds.
+Load pattern: a queue whose length does not predict its wait, since requests differ
+a thousandfold in length.  Without an estimate in slot time, a missed deadline is
+noticed only after it has passed.  `admission` decides with the state kept here.
 """
 
 import math
@@ -18,7 +18,7 @@
 
 
 class WaitingRequest(NamedTuple):
-    """What admission has to know of one request.
+    """Properties of a request that admission depends on.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
     team : str
         Team of the caller.
     pool : str
-        Model or service that was asked for.
+        Requested model or service.
     weight : float
         Weight in the team's contract.
     priority : int
@@ -37,7 +37,7 @@
     deadline_s : float
         When the whole answer is due, on the clock of ``now_s``.
     arrived_s : float
-        When the request came.
+        When the request arrived.
     """
 
     id: str
@@ -51,15 +51,15 @@
 
 
 class Entry(NamedTuple):
-    """A waiting request with its place in the order of its team."""
+    """A waiting request with its sort key in the queue of its team."""
 
-    order_s: float
+    sort_key_s: float
     sequence: int
     request: WaitingRequest
     cost: float
 
 
-class Running(NamedTuple):
+class RunningRequest(NamedTuple):
     """A request at an endpoint."""
 
     request: WaitingRequest
@@ -68,14 +68,14 @@
 
 
 class Rates(NamedTuple):
-    """How fast a pool works its queue off, in tokens a second; 0 if unknown.
+    """Throughput of a pool in tokens a second; 0 if unknown.
 
     Parameters
     ----------
     all_tokens_per_s : float
         Of all slots that may be used now.
     short_tokens_per_s, long_tokens_per_s : float
-        Of the slots that short and long work have for themselves.
+        Of the slots that only short or only long requests may use.
     """
 
     all_tokens_per_s: float
@@ -84,43 +84,45 @@
 
 
 class TeamQueue:
-    """Waiting requests of one team, short and long apart, each in order."""
+    """Waiting requests of one team, one sorted list for each size class."""
 
     def __init__(self, weight: float) -> None:
         self.weight = weight
-        self.lines: dict[SizeClass, list[Entry]] = {"short": [], "long": []}
+        self.entries: dict[SizeClass, list[Entry]] = {"short": [], "long": []}
         self.cost = 0.0
 
     def __len__(self) -> int:
-        return sum(map(len, self.lines.values()))
+        return sum(map(len, self.entries.values()))
 
     def find_first(self, size_class: SizeClass) -> Entry:
-        """Return the request of this lane that goes next."""
+        """Return the next request of this size class."""
         if size_class != "any":
-            return self.lines[size_class][0]
-        return min(line[0] for line in self.lines.values() if line)
+            return self.entries[size_class][0]
+        return min(entries[0] for entries in self.entries.values() if entries)
 
     def find_last(self) -> Entry:
-        """Return the request that goes last."""
-        return max(line[-1] for line in self.lines.values() if line)
+        """Return the request that is served last."""
+        return max(entries[-1] for entries in self.entries.values() if entries)
 
-    def sum_before(self, entry: Entry) -> float:
-        """Return the cost of what goes before `entry`."""
+    def sum_cost_ahead(self, entry: Entry) -> float:
+        """Return the total cost of the requests ahead of `entry`."""
         if len(self) and entry > self.find_last():
             return self.cost
-        lines = self.lines.values()
-        return sum(e.cost for line in lines for e in line[: bisect_left(line, entry)])
+        lists = self.entries.values()
+        return sum(
+            e.cost for found in lists for e in found[: bisect_left(found, entry)]
+        )
 
 
 class Backlog:
-    """Sums over the requests that wait in one lane."""
+    """Number and cost of the requests that wait in one size class."""
 
     def __init__(self) -> None:
         self.count = 0
         self.cost = 0.0
 
     def add(self, cost: float, sign: int) -> None:
-        """Count one request in (sign 1) or out (sign -1)."""
+        """Add (sign 1) or subtract (sign -1) one request."""
         self.count += sign
         self.cost = self.cost + sign * cost if self.count else 0.0
 
@@ -131,36 +133,38 @@
 
 
 class Pool:
-    """Queue of one model or service, and what is known of its speed."""
+    """Waiting and running requests of one model or service, and its speed."""
 
     def __init__(self) -> None:
         self.teams: dict[str, TeamQueue] = {}
         self.scheduler = FairScheduler()
         self.estimate = ServiceEstimate()
-        self.running: dict[str, Running] = {}
-        self.running_long = 0
+        self.running: dict[str, RunningRequest] = {}
+        self.running_long_count = 0
         self.slots = 0
         self.backlogs: dict[SizeClass, Backlog] = {
             "any": Backlog(),
             "short": Backlog(),
             "long": Backlog(),
         }
-        self.weight = 0.0
-        self.bookings: dict[str, float] = {}
+        # Sum of the weights of the teams that have requests waiting.
+        self.waiting_weight = 0.0
+        # Latest retry time given to each team; see `admission`.
+        self.next_retry_s: dict[str, float] = {}
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return self.backlogs["any"].count
 
     def add(self, entry: Entry) -> None:
-        """Let a request wait."""
-        request, size_class = entry.request, find_lane(entry.request)
+        """Queue a request."""
+        request, size_class = entry.request, classify_size(entry.request)
         queue = self.teams.get(request.team)
         if queue is None:
             queue = self.teams[request.team] = TeamQueue(request.weight)
-            self.weight += queue.weight
-        insort(queue.lines[size_class], entry)
+            self.waiting_weight += queue.weight
+        insort(queue.entries[size_class], entry)
         queue.cost += entry.cost
         self.scheduler.join(request.team, "any")
         self.scheduler.join(request.team, size_class)
@@ -168,73 +172,75 @@
         self.backlogs[size_class].add(entry.cost, 1)
 
     def remove(self, entry: Entry) -> None:
-        """Take a request out, whether it starts or is refused."""
-        team, size_class = entry.request.team, find_lane(entry.request)
+        """Remove a request from the queue, whether it starts or is refused."""
+        team, size_class = entry.request.team, classify_size(entry.request)
         queue = self.teams[team]
-        line = queue.lines[size_class]
-        del line[bisect_left(line, entry)]
+        entries = queue.entries[size_class]
+        del entries[bisect_left(entries, entry)]
         queue.cost -= entry.cost
         self.backlogs["any"].add(entry.cost, -1)
         self.backlogs[size_class].add(entry.cost, -1)
-        if not line:
+        if not entries:
             self.scheduler.leave(team, size_class)
         if not len(queue):
             self.scheduler.leave(team, "any")
-            self.weight -= queue.weight
+            self.waiting_weight -= queue.weight
             del self.teams[team]
 
-    def choose_lane(self, now_s: float) -> SizeClass:
-        """Return which work may have the next free slot."""
-        if self.running_long >= self.slots - self.count_reserved(now_s):
+    def choose_size_class(self, now_s: float) -> SizeClass:
+        """Return the size class that may use the next free slot."""
+        if self.running_long_count >= self.slots - self.count_reserved(now_s):
             return "short"
-        kept = self.running_long < int(self.slots * LONG_SHARE_MIN)
-        return "long" if kept and self.backlogs["long"].count else "any"
+        below_min = self.running_long_count < int(self.slots * LONG_SHARE_MIN)
+        return "long" if below_min and self.backlogs["long"].count else "any"
 
     def count_reserved(self, now_s: float) -> int:
-        """Return how many slots long work leaves to short work."""
+        """Return how many slots are reserved for short requests."""
         return self.estimate.count_reserved(self.slots, now_s)
 
     def measure_rates(self, now_s: float) -> Rates:
-        """Return how fast this router's queue is worked off."""
+        """Return the throughput available to this router's queue."""
         speed = self.estimate.tokens_per_s
         if speed is None:
             return Rates(0.0, 0.0, 0.0)
         reserved = self.count_reserved(now_s)
         usable = max(1, self.slots - reserved, len(self.running))
-        kept = int(self.slots * LONG_SHARE_MIN)
-        return Rates(speed * usable, speed * reserved, speed * kept)
+        long_slots = int(self.slots * LONG_SHARE_MIN)
+        return Rates(speed * usable, speed * reserved, speed * long_slots)
 
     def estimate_wait_s(
-        self, request: WaitingRequest, cost_before: float, rates: Rates
+        self, request: WaitingRequest, cost_ahead: float, rates: Rates
     ) -> float:
-        """Return how long `request` waits behind `cost_before` of its own team."""
+        """Return how long `request` waits behind `cost_ahead` of its own team."""
         if not rates.all_tokens_per_s or (
             not self.waiting and len(self.running) < self.slots
         ):
             return 0.0
         backlog = self.backlogs["any"]
-        before = self.scheduler.count_teams_ahead(request.team, "any")
-        own = request.team in self.teams
-        weight = self.weight + (0.0 if own else request.weight)
-        # What the other teams get meanwhile, if all of them go on waiting; never
-        # more than all there is.
-        with_others = cost_before * weight / request.weight + before * backlog.mean_cost
+        teams_ahead = self.scheduler.count_teams_ahead(request.team, "any")
+        is_queued = request.team in self.teams
+        weight = self.waiting_weight + (0.0 if is_queued else request.weight)
+        # Includes what the other teams are served in the meantime if all of them
+        # keep waiting; never more than the whole backlog.
+        with_others = (
+            cost_ahead * weight / request.weight + teams_ahead * backlog.mean_cost
+        )
         cost = min(backlog.cost, with_others) + backlog.mean_cost
         wait_s = cost / rates.all_tokens_per_s
-        return min(wait_s, self._estimate_lane_wait_s(find_lane(request), rates))
+        return min(wait_s, self._estimate_class_wait_s(classify_size(request), rates))
 
-    def _estimate_lane_wait_s(self, size_class: SizeClass, rates: Rates) -> float:
-        """Return the wait of the last in a lane that only gets its own slots."""
+    def _estimate_class_wait_s(self, size_class: SizeClass, rates: Rates) -> float:
+        """Return the wait of the last request if its class gets only its own slots."""
         short = size_class == "short"
         rate = rates.short_tokens_per_s if short else rates.long_tokens_per_s
         backlog = self.backlogs[size_class]
         return (backlog.cost + backlog.mean_cost) / rate if rate else math.inf
 
     def list_in_order(self) -> list[tuple[str, TeamQueue]]:
-        """Return the teams that wait and their queues, first turn first."""
+        """Return the waiting teams and their queues, in the order of service."""
         return [(team, self.teams[team]) for team in self.scheduler.list_in_order()]
 
 
-def find_lane(request: WaitingRequest) -> SizeClass:
-    """Return the lane that a request waits in, besides ``"any"``."""
+def classify_size(request: WaitingRequest) -> SizeClass:
+    """Return the size class of a request, ``"short"`` or ``"long"``."""
     return "short" if is_short(request.size_tokens) else "long"
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission, judged by what callers receive."""
+"""Tests of admission, by the outcomes that callers see."""
 
 from collections import Counter
 
@@ -13,7 +13,7 @@
 
 SLOTS = 16
 LONG_TOKENS = 200
-# Long requests a second that keep all slots busy.
+# Rate of long requests that keeps all slots busy.
 CAPACITY_PER_S = SLOTS * SLOT_TOKENS_PER_S / compute_cost(LONG_TOKENS)
 
 
@@ -58,9 +58,9 @@
 
 
 def test_burst_is_answered_in_time_or_refused_at_once():
-    # Eight seconds of work arrive in one second and each answer is due in ten.
-    # Without the estimate at arrival and in the queue, callers wait until their
-    # deadline and get nothing, or an answer that is no longer of use.
+    # A burst exceeds what can be answered by the deadlines.  Without wait estimates
+    # on arrival and in the queue, callers wait until their deadline and get no answer
+    # or a late one.
     steady = make_calls("t", 0.5 * CAPACITY_PER_S, 0, 90, LONG_TOKENS, 20)
     burst = make_calls("t", 20 * CAPACITY_PER_S, 60, 61, LONG_TOKENS, 20)
     outcomes = drive(AdmissionQueue(512), steady + burst, SLOTS, 120)
@@ -73,10 +73,10 @@
 
 
 @pytest.mark.parametrize("load", [2, 10])
-def test_goodput_holds_in_overload_and_comes_back(load):
-    # Clients of a full fleet try again, and again after a timeout.  A queue that
-    # works on requests whose caller has gone stays full of them: goodput falls
-    # under overload and does not return when the load has.
+def test_goodput_holds_in_overload_and_recovers(load):
+    # Clients retry after a refusal or a timeout.  A queue that serves requests whose
+    # caller has gone stays full of them: goodput falls under overload and does not
+    # recover with the load.
     steady = make_calls("t", 0.7 * CAPACITY_PER_S, 0, 600, LONG_TOKENS, 20, retries=5)
     surge = make_calls(
         "t", load * CAPACITY_PER_S, 60, 120, LONG_TOKENS, 20, seed=2, retries=5
@@ -88,8 +88,8 @@
     assert after["answered"] == after.total() > 50
 
 
-def test_hot_team_costs_the_others_nothing():
-    # One of five teams sends ten times what the pool can do.  In order of arrival,
+def test_hot_team_does_not_slow_other_teams():
+    # One of five teams sends ten times the pool's capacity.  In order of arrival,
     # the other four would wait behind its queue and be refused with it.
     calls = make_calls("hot", 10 * CAPACITY_PER_S, 0, 120, LONG_TOKENS, 20)
     quiet = [f"quiet{i}" for i in range(4)]
@@ -108,8 +108,8 @@
 
 @pytest.mark.parametrize("weights", [(1, 1), (1, 3)])
 def test_shares_follow_weights(weights):
-    # Both teams ask for more than there is: a contract of three times the weight
-    # gets three times the work done, and equal ones the same.
+    # Both teams send more than the pool can serve: three times the weight must get
+    # three times the throughput, and equal weights the same.
     calls = []
     for team, weight in zip("ab", weights, strict=True):
         calls += make_calls(
@@ -120,9 +120,9 @@
     assert done[1] / done[0] == pytest.approx(weights[1] / weights[0], rel=0.15)
 
 
-def test_short_lookups_do_not_wait_for_long_work():
-    # Long drafts fill every slot while a shop counter looks up stock.  Without
-    # slots kept for short work the lookup waits for a draft to end.
+def test_short_requests_do_not_wait_for_long_ones():
+    # Long drafts could fill every slot while a shop counter looks up stock.  Without
+    # slots reserved for short requests, a lookup waits for a draft to end.
     calls = make_calls("desk", 1.5 * CAPACITY_PER_S, 0, 120, LONG_TOKENS, 30)
     calls += make_calls("counter", 1.0, 5, 120, 0, 2)
     outcomes = drive(AdmissionQueue(512), calls, SLOTS, 150)
@@ -132,9 +132,9 @@
     assert waits[int(0.99 * len(waits))] < 1.0
 
 
-def test_flood_of_short_work_leaves_long_work_its_part():
-    # Lookups at ten times what the pool can do, and drafts that are due in twice
-    # their own time.  By size and age alone, hardly a draft would be in time.
+def test_flood_of_short_requests_leaves_slots_to_long_ones():
+    # Lookups arrive at ten times the pool's capacity, and drafts are due in twice
+    # their service time.  By size and age alone, few drafts would be in time.
     lookups_per_s = 10 * SLOTS * SLOT_TOKENS_PER_S / compute_cost(20)
     drafts_per_s = SLOTS * SLOT_TOKENS_PER_S / compute_cost(400)
     calls = make_calls("t", lookups_per_s, 0, 150, 20, 5)
@@ -145,8 +145,8 @@
 
 
 def test_retry_after_is_spread():
-    # A thousand refused callers told the same second would come back as the same
-    # burst.  They are told times at which the pool can take some of them.
+    # A thousand refused callers with the same Retry-After would return as the same
+    # burst.  Retry-After must spread them over time.
     queue = AdmissionQueue(8)
     learn_speed(queue)
     queue.dispatch("p", 0, 1.0)
@@ -161,7 +161,7 @@
 
 def test_waiting_request_is_dropped_when_pool_slows_down():
     # An endpoint slows down while requests wait.  Those that will miss their
-    # deadline are told at once, not when it has passed.
+    # deadline must be refused at once, not when it has passed.
     queue = AdmissionQueue(8)
     learn_speed(queue, service_s=1.0)
     for id in ("running", "waiting"):
@@ -172,9 +172,9 @@
     assert [r.request_id for r in queue.expire(6.0)] == ["waiting"]
 
 
-def test_request_does_not_wait_for_endpoints_that_are_all_out():
-    # Every endpoint of a pool is ejected or gone.  Nothing will free a slot, and the
-    # caller would be told only when its deadline has passed.
+def test_request_is_refused_when_no_endpoint_is_available():
+    # Every endpoint of a pool is ejected or gone, so nothing will free a slot and the
+    # caller would be refused only when its deadline has passed.
     queue = AdmissionQueue(8)
     learn_speed(queue)
     queue.offer(make_request("a", deadline_s=60.0, arrived_s=1.0), 1.0)
@@ -182,9 +182,9 @@
     assert [refusal.code for refusal in queue.expire(6.0)] == ["no_endpoint"]
 
 
-def test_full_queue_makes_room_at_the_cost_of_the_team_over_its_share():
-    # A surge fills the queue.  Without making room, the next request of another
-    # team is refused for a queue that it has not filled.
+def test_full_queue_evicts_from_the_team_over_its_share():
+    # A surge of one team fills the queue.  Without eviction, the next request of
+    # another team is refused although that team has none waiting.
     queue = AdmissionQueue(4)
     for i in range(4):
         assert queue.offer(make_request(f"hot{i}", "hot"), 0.0) == []
@@ -198,13 +198,13 @@
     [
         ([{"priority": 0}, {"priority": 1}], ["1", "0"]),
         ([{"size_tokens": 500}, {"size_tokens": 0}], ["1", "0"]),
-        # Aged: the long one came a minute before.
+        # Ageing: the long request arrived a minute earlier.
         ([{"size_tokens": 500}, {"size_tokens": 0, "arrived_s": 60.0}], ["0", "1"]),
-        # Priority counts inside a team only: the turn is the first team's.
+        # Priority counts inside a team only: the first team is served first.
         ([{"team": "a"}, {"team": "b", "priority": 9}], ["0", "1"]),
     ],
 )
-def test_order(fields, expected):
+def test_requests_start_in_order(fields, expected):
     queue = AdmissionQueue(8)
     for i, given in enumerate(fields):
         queue.offer(make_request(str(i), **given), given.get("arrived_s", 0.0))
@@ -212,7 +212,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Every request ends in exactly one way, and no slot idles without reason."""
+    """Every request ends exactly once, and only reserved slots are idle."""
 
     def __init__(self):
         super().__init__()
@@ -258,7 +258,7 @@
         started = sum(isinstance(action, Start) for action in actions)
         assert started <= slots
         if started < slots:
-            # Only slots kept for short work idle, and only while none waits.
+            # Only reserved slots are idle, and only if no short request waits.
             assert not any(is_short(r.size_tokens) for r in self.waiting.values())
             kept = self.queue.count_reserved("p", self.now_s)
             assert not self.waiting or slots - started <= kept
