--- a/src/tamarackrill/decisions/limits.py
+++ b/src/tamarackrill/decisions/limits.py
@@ -1,19 +1,20 @@
-"""Limits of a team over the whole fleet, while each router sees a sliver of it.
-
-Load pattern: a team's requests come to all routers, unevenly, and move between them.
-Without a common sum, each router could only enforce its even part of a limit: a team
-whose callers reach few routers is then refused far below its contract (99.7 % of it
-at one of 370 routers), or, with the whole limit at each router, gets many times what
-was agreed, seen as other teams that wait.
-
-Each router counts what it is asked for, and learns the sum over the fleet from
-`usage`, some seconds late.  When the sum is above a limit, every router admits the
-same fraction of what it gets, however little that is, by carrying the rest over from
-request to request.  So nothing has to be divided between routers: the fraction holds
-for any spread of arrivals, and moving arrivals change no sum.  A bucket and a count
-in each router also keep the whole limit exactly if all arrivals come to one router.
-
-docs/design/limits.md has the ways that were weighed, and the error measured.
+"""Fleet-wide limits of a team, enforced by routers that each see few of its requests.
+
+Load pattern: a team's requests reach all routers, unevenly, and move between them.
+Without a fleet-wide sum, each router could only enforce an equal share of a limit: a
+team whose callers reach few routers is then refused far below its contract (it loses
+99.7 % of it if they reach one of 370 routers).  With the whole limit at each router,
+the team gets many times what its contract allows, and other teams wait.
+
+Each router counts its own requests, and receives the sum over the fleet from `usage`
+some seconds late.  When the sum exceeds a limit, every router admits the same
+fraction of its requests, carrying the remainder from request to request so that this
+also works at low rates.  Limits need not be divided between routers: the fraction
+holds for any distribution of arrivals, and arrivals that move do not change the sum.
+A token bucket and a count in each router also enforce the whole limit exactly if all
+requests reach one router.
+
+docs/design/limits.md compares the alternatives and has the error.
 """
 
 import math
@@ -25,45 +26,45 @@
 UsageScope = Literal["router", "zone", "other_routers", "other_zones"]
 LimitName = Literal["", "rate", "tokens", "in_flight"]
 
-# Rates are means over about 2 s: long enough that a sum over the fleet is not noise
-# at 10 requests a second, and no longer than the sums are late anyway.
+# Averaging time of rates: long enough that a fleet-wide sum is not noise at 10
+# requests a second, and no longer than the sums are delayed anyway.
 METER_WINDOW_S = 2.0
-# Requests in flight are steered so that they would reach the limit in 4 s, about
-# twice the time until an effect is seen in the sum.  With 8 s the error was larger.
+# Requests in flight are controlled to reach the limit in 4 s, about twice the delay
+# until an effect shows in the sum.  8 s gives a larger error.
 IN_FLIGHT_HORIZON_S = 4.0
-# Below this share of the limit nothing is refused.  What others end a second comes
-# late, and reads as nothing when a team has just begun.
-IN_FLIGHT_NEAR = 0.8
-# A sum that was not renewed for so long is not used any more.  Partitions are mostly
-# shorter; until then the other side is taken to ask for what it asked last.
-HOLD_S = 60.0
-# A team that was quiet for so long is forgotten.  Longer than the slowest report of
-# `usage` takes: the last one, that there is nothing any more, must still go out.
-FORGET_S = 150.0
+# Below this share of the limit nothing is refused.  The completion rate of other
+# routers arrives late, and is zero for a team that has just begun.
+IN_FLIGHT_THRESHOLD = 0.8
+# Expiry of a sum that is not renewed.  Partitions are mostly shorter; until then the
+# other side is assumed to send what it last reported.
+REMOTE_USAGE_TTL_S = 60.0
+# Expiry of an idle team.  Longer than the slowest report interval of `usage`, since
+# the last report, that usage is zero, must still be sent.
+IDLE_TEAM_TTL_S = 150.0
 RETRY_MIN_S = 1.0
 RETRY_MAX_S = 30.0
 
 
 class TeamUsage(NamedTuple):
-    """What a part of the fleet was asked for by a team.
+    """Usage of a team at one router, in one zone or at a set of them.
 
     Parameters
     ----------
     team : str
         Name of the team.
     scope : {"router", "zone", "other_routers", "other_zones"}
-        Whose usage this is: that of a router or zone, as it reports it, or that of
-        all others in the fleet, as it is told in return.
+        What the usage covers: a router or zone, in its report, or all others in the
+        fleet, in the reply to it.
     origin : str
-        Name of the router or zone.
+        Name of the reporting router or zone.
     requests_per_s : float
-        Requests offered a second, refused ones included.
+        Offered requests a second, including refused ones.
     tokens_per_s : float
-        Tokens asked for a second, those of refused requests included.
+        Requested tokens a second, including those of refused requests.
     in_flight : int
-        Requests waiting or at endpoints.
+        Requests waiting or running at endpoints.
     done_per_s : float
-        Requests that ended a second, refused ones excluded.
+        Finished requests a second, excluding refused ones.
     """
 
     team: str
@@ -83,9 +84,9 @@
     admitted : bool
         If True, `FleetLimits.finish` must follow.
     limit : {"", "rate", "tokens", "in_flight"}
-        Which limit it is over.
+        The limit that is exceeded.
     retry_after_s : float
-        When to come back.
+        Delay after which the client may retry.
     """
 
     admitted: bool
@@ -94,7 +95,7 @@
 
 
 class Meter:
-    """Rate of something, as a mean that forgets over `METER_WINDOW_S`."""
+    """Exponentially decaying mean of a rate, over `METER_WINDOW_S`."""
 
     def __init__(self) -> None:
         self._sum = 0.0
@@ -114,20 +115,20 @@
         return self._sum * math.exp(-elapsed_s / METER_WINDOW_S) if self._sum else 0.0
 
 
-class _Bucket:
-    """Tokens of a token bucket, filled at a rate that each call names."""
+class _TokenBucket:
+    """Token bucket whose refill and capacity are given with each call."""
 
     def __init__(self, level: float) -> None:
         self.level = level
 
-    def fill(self, amount: float, most: float) -> None:
-        self.level = min(most, self.level + amount)
+    def refill(self, amount: float, capacity: float) -> None:
+        self.level = min(capacity, self.level + amount)
 
 
-class _Team:
-    """What this router knows of one team."""
+class _TeamState:
+    """Usage and limit state of one team at this router."""
 
-    def __init__(self, contract: Contract, now_s: float, phase: float) -> None:
+    def __init__(self, contract: Contract, now_s: float, initial_credit: float) -> None:
         self.requests = Meter()
         self.tokens = Meter()
         self.done = Meter()
@@ -135,32 +136,32 @@
         self.burst = contract.rate_burst
         self.tokens_burst = contract.tokens_burst
         self.updated_s = now_s
-        # What this router itself may still admit, and what the whole fleet may.
-        self.own_requests = _Bucket(contract.rate_burst)
-        self.own_tokens = _Bucket(contract.tokens_burst)
-        self.fleet_requests = _Bucket(contract.rate_burst)
-        self.fleet_tokens = _Bucket(contract.tokens_burst)
-        # Fraction of a request that earlier ones left over.  It starts elsewhere at
-        # each router; otherwise all would admit, and refuse, their first together.
-        self.carried = phase
+        # What this router alone and the whole fleet may still admit.
+        self.router_request_bucket = _TokenBucket(contract.rate_burst)
+        self.router_token_bucket = _TokenBucket(contract.tokens_burst)
+        self.fleet_request_bucket = _TokenBucket(contract.rate_burst)
+        self.fleet_token_bucket = _TokenBucket(contract.tokens_burst)
+        # Fraction of a request that may still be admitted.  It starts at a different
+        # value in each router; otherwise all would admit or refuse in step.
+        self.admission_credit = initial_credit
         self.refusals = 0
         self.others: TeamUsage | None = None
         self.others_at_s = -math.inf
 
-    def take_bursts(self, contract: Contract) -> None:
-        """Grant at once what a changed contract adds to the bursts.
+    def apply_burst_increase(self, contract: Contract) -> None:
+        """Add at once what a changed contract adds to the bursts.
 
-        Filled at the new rate alone, a burst that was used up would have the team
+        If an exhausted bucket were only refilled at the new rate, the team would be
         refused after its contract allows it more.
         """
-        more = max(0.0, contract.rate_burst - self.burst)
-        more_tokens = max(0.0, contract.tokens_burst - self.tokens_burst)
+        added_burst = max(0.0, contract.rate_burst - self.burst)
+        added_tokens = max(0.0, contract.tokens_burst - self.tokens_burst)
         self.burst = contract.rate_burst
         self.tokens_burst = contract.tokens_burst
-        for bucket in (self.own_requests, self.fleet_requests):
-            bucket.level += more
-        for bucket in (self.own_tokens, self.fleet_tokens):
-            bucket.level += more_tokens
+        for bucket in (self.router_request_bucket, self.fleet_request_bucket):
+            bucket.level += added_burst
+        for bucket in (self.router_token_bucket, self.fleet_token_bucket):
+            bucket.level += added_tokens
 
 
 class FleetLimits:
@@ -174,7 +175,7 @@
 
     def __init__(self, router: str) -> None:
         self._router = router
-        self._teams: dict[str, _Team] = {}
+        self._teams: dict[str, _TeamState] = {}
 
     def admit(
         self, contract: Contract, cost_tokens: float, now_s: float
@@ -188,7 +189,7 @@
         cost_tokens : float
             Expected length of the answer.
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
@@ -196,36 +197,38 @@
         """
         team = self._teams.get(contract.team)
         if team is None:
-            phase = hash_unit(f"{contract.team}/{self._router}")
-            team = self._teams[contract.team] = _Team(contract, now_s, phase)
-        if now_s - team.others_at_s > HOLD_S:
+            credit = hash_to_fraction(f"{contract.team}/{self._router}")
+            team = self._teams[contract.team] = _TeamState(contract, now_s, credit)
+        if now_s - team.others_at_s > REMOTE_USAGE_TTL_S:
             team.others = None
-        team.take_bursts(contract)
-        # Before this request is counted: the burst was used by what came since the
-        # last one, and a request after a pause must not pay for the pause.
-        _fill(team, contract, self._sum_fleet(team, contract.team, now_s), now_s)
+        team.apply_burst_increase(contract)
+        # Before this request is counted: the burst was used by the arrivals since the
+        # last one, and a pause must not be charged to the request that ends it.
+        _refill_buckets(
+            team, contract, self._sum_fleet(team, contract.team, now_s), now_s
+        )
         team.requests.add(1.0, now_s)
         team.tokens.add(cost_tokens, now_s)
         total = self._sum_fleet(team, contract.team, now_s)
-        limit, excess = _find_limit(team, contract, total)
+        limit, retry_base_s = _find_limit(team, contract, total)
         if limit:
-            return self._refuse(team, contract, limit, excess)
-        team.own_requests.level -= 1.0
-        team.own_tokens.level -= cost_tokens
+            return self._refuse(team, contract, limit, retry_base_s)
+        team.router_request_bucket.level -= 1.0
+        team.router_token_bucket.level -= cost_tokens
         team.in_flight += 1
         return LimitDecision(True)
 
     def finish(self, name: str, correction_tokens: float, now_s: float) -> None:
-        """Take note that an admitted request has ended.
+        """Record that an admitted request has finished.
 
         Parameters
         ----------
         name : str
             Name of the team.
         correction_tokens : float
-            Real length of the answer less the expected one.
+            Actual length of the answer minus the expected one.
         now_s : float
-            Present time.
+            Current time.
         """
         team = self._teams.get(name)
         if team is None or not team.in_flight:
@@ -233,50 +236,52 @@
         team.in_flight -= 1
         team.done.add(1.0, now_s)
         team.tokens.add(correction_tokens, now_s)
-        team.own_tokens.level -= correction_tokens
+        team.router_token_bucket.level -= correction_tokens
 
     def list_usage(self, now_s: float) -> list[TeamUsage]:
         """Return this router's own usage, for `usage.UsageExchange`.
 
-        A team that has been quiet is listed a last time, and then forgotten.
+        An idle team is listed a last time and then removed.
         """
         usages = []
         for name, team in list(self._teams.items()):
             usages.append(self._read_own(team, name, now_s))
-            quiet_s = now_s - team.updated_s
-            if not team.in_flight and quiet_s > FORGET_S:
+            idle_s = now_s - team.updated_s
+            if not team.in_flight and idle_s > IDLE_TEAM_TTL_S:
                 del self._teams[name]
         return usages
 
     def observe_others(self, others: TeamUsage, now_s: float) -> None:
-        """Take in what all other routers were asked for by a team."""
+        """Update the usage of a team at all other routers."""
         team = self._teams.get(others.team)
         if team is not None:
             team.others = others
             team.others_at_s = now_s
             self._cap_burst(team, now_s)
 
-    def _cap_burst(self, team: _Team, now_s: float) -> None:
-        # A router that a team has just come to still holds the whole burst for it.
-        # Callers that move from router to router would be granted it at each.
+    def _cap_burst(self, team: _TeamState, now_s: float) -> None:
+        # A router that a team has not used before has a full burst for it.  Callers
+        # that move from router to router would get a full burst at each.
         own_per_s = team.requests.read(now_s)
         others = team.others
         if others is not None and others.requests_per_s > 0:
             share = own_per_s / (own_per_s + others.requests_per_s)
-            most = share * team.burst
-            team.fleet_requests.level = min(team.fleet_requests.level, most)
+            burst_max = share * team.burst
+            team.fleet_request_bucket.level = min(
+                team.fleet_request_bucket.level, burst_max
+            )
 
     def list_fleet_usage(self, now_s: float) -> list[TeamUsage]:
-        """Return the fleet's usage of each team, as this router sees it."""
+        """Return the fleet's usage of each team, as known to this router."""
         teams = self._teams.items()
         return [self._sum_fleet(team, name, now_s) for name, team in teams]
 
     def get_fleet_usage(self, name: str, now_s: float) -> TeamUsage | None:
-        """Return the fleet's usage as this router sees it, or None if unknown."""
+        """Return the fleet's usage of a team, or None for an unknown team."""
         team = self._teams.get(name)
         return self._sum_fleet(team, name, now_s) if team else None
 
-    def _read_own(self, team: _Team, name: str, now_s: float) -> TeamUsage:
+    def _read_own(self, team: _TeamState, name: str, now_s: float) -> TeamUsage:
         return TeamUsage(
             name,
             "router",
@@ -287,23 +292,27 @@
             team.done.read(now_s),
         )
 
-    def _sum_fleet(self, team: _Team, name: str, now_s: float) -> TeamUsage:
+    def _sum_fleet(self, team: _TeamState, name: str, now_s: float) -> TeamUsage:
         own = self._read_own(team, name, now_s)
         if team.others is None:
             return own
         return add_usage(own, team.others)
 
     def _refuse(
-        self, team: _Team, contract: Contract, limit: LimitName, excess: float
+        self,
+        team: _TeamState,
+        contract: Contract,
+        limit: LimitName,
+        retry_base_s: float,
     ) -> LimitDecision:
         team.refusals += 1
-        unit = hash_unit(f"{contract.team}/{self._router}/{team.refusals}")
-        retry_s = max(RETRY_MIN_S, min(RETRY_MAX_S, excess)) * (0.5 + unit)
+        jitter = hash_to_fraction(f"{contract.team}/{self._router}/{team.refusals}")
+        retry_s = max(RETRY_MIN_S, min(RETRY_MAX_S, retry_base_s)) * (0.5 + jitter)
         return LimitDecision(False, limit, max(RETRY_MIN_S, retry_s))
 
 
-def measure_pressure(usage: TeamUsage, contract: Contract) -> float:
-    """Return how much of its tightest limit a usage takes; 1.0 is all of it."""
+def compute_utilization(usage: TeamUsage, contract: Contract) -> float:
+    """Return the utilization of the tightest limit; 1.0 is the whole limit."""
     return max(
         usage.requests_per_s / contract.rate_per_s,
         usage.tokens_per_s / contract.tokens_per_s,
@@ -312,7 +321,7 @@
 
 
 def add_usage(first: TeamUsage, second: TeamUsage, sign: int = 1) -> TeamUsage:
-    """Return the sum of two usages, or their difference; never below 0."""
+    """Return the sum, or with sign -1 the difference, of two usages; at least 0."""
     return first._replace(
         requests_per_s=max(0.0, first.requests_per_s + sign * second.requests_per_s),
         tokens_per_s=max(0.0, first.tokens_per_s + sign * second.tokens_per_s),
@@ -321,72 +330,80 @@
     )
 
 
-def _fill(team: _Team, contract: Contract, total: TeamUsage, now_s: float) -> None:
+def _refill_buckets(
+    team: _TeamState, contract: Contract, total: TeamUsage, now_s: float
+) -> None:
     elapsed_s = max(0.0, now_s - team.updated_s)
     team.updated_s = max(now_s, team.updated_s)
     rate, tokens = contract.rate_per_s, contract.tokens_per_s
-    team.own_requests.fill(rate * elapsed_s, contract.rate_burst)
-    team.own_tokens.fill(tokens * elapsed_s, contract.tokens_burst)
-    # What the fleet admits of its usage beyond the limit comes out of the burst.
+    team.router_request_bucket.refill(rate * elapsed_s, contract.rate_burst)
+    team.router_token_bucket.refill(tokens * elapsed_s, contract.tokens_burst)
+    # What the fleet admits beyond the limit is taken from the burst.
     spare = rate - total.requests_per_s
-    team.fleet_requests.fill(spare * elapsed_s, contract.rate_burst)
+    team.fleet_request_bucket.refill(spare * elapsed_s, contract.rate_burst)
     spare = tokens - total.tokens_per_s
-    team.fleet_tokens.fill(spare * elapsed_s, contract.tokens_burst)
-    team.fleet_requests.level = max(0.0, team.fleet_requests.level)
-    team.fleet_tokens.level = max(0.0, team.fleet_tokens.level)
+    team.fleet_token_bucket.refill(spare * elapsed_s, contract.tokens_burst)
+    team.fleet_request_bucket.level = max(0.0, team.fleet_request_bucket.level)
+    team.fleet_token_bucket.level = max(0.0, team.fleet_token_bucket.level)
 
 
 def _find_limit(
-    team: _Team, contract: Contract, total: TeamUsage
+    team: _TeamState, contract: Contract, total: TeamUsage
 ) -> tuple[LimitName, float]:
-    """Return the limit that the next request is over, and by what factor."""
-    if team.own_requests.level < 1.0:
+    """Return the exceeded limit, and the Retry-After in seconds before its bounds."""
+    if team.router_request_bucket.level < 1.0:
         return "rate", 1.0 / contract.rate_per_s
-    if team.own_tokens.level <= 0.0:
-        return "tokens", -team.own_tokens.level / contract.tokens_per_s
+    if team.router_token_bucket.level <= 0.0:
+        return "tokens", -team.router_token_bucket.level / contract.tokens_per_s
     if team.in_flight >= contract.in_flight_max:
         return "in_flight", RETRY_MIN_S
     fractions: list[tuple[float, LimitName]] = [
-        (_fraction_of_rate(team, contract, total), "rate"),
-        (_fraction_of_tokens(team, contract, total), "tokens"),
-        (_fraction_of_in_flight(team, contract, total), "in_flight"),
+        (_admit_fraction_by_rate(team, contract, total), "rate"),
+        (_admit_fraction_by_tokens(team, contract, total), "tokens"),
+        (_admit_fraction_by_in_flight(team, contract, total), "in_flight"),
     ]
     fraction, limit = min(fractions)
     if fraction >= 1.0:
         return "", 1.0
-    team.carried += fraction
-    if team.carried >= 1.0:
-        team.carried -= 1.0
+    team.admission_credit += fraction
+    if team.admission_credit >= 1.0:
+        team.admission_credit -= 1.0
         return "", 1.0
     return limit, 1.0 / max(fraction, 1.0 / RETRY_MAX_S)
 
 
-def _fraction_of_rate(team: _Team, contract: Contract, total: TeamUsage) -> float:
-    if team.fleet_requests.level > 0 or not total.requests_per_s:
+def _admit_fraction_by_rate(
+    team: _TeamState, contract: Contract, total: TeamUsage
+) -> float:
+    if team.fleet_request_bucket.level > 0 or not total.requests_per_s:
         return 1.0
     return contract.rate_per_s / total.requests_per_s
 
 
-def _fraction_of_tokens(team: _Team, contract: Contract, total: TeamUsage) -> float:
-    if team.fleet_tokens.level > 0 or not total.tokens_per_s:
+def _admit_fraction_by_tokens(
+    team: _TeamState, contract: Contract, total: TeamUsage
+) -> float:
+    if team.fleet_token_bucket.level > 0 or not total.tokens_per_s:
         return 1.0
     return contract.tokens_per_s / total.tokens_per_s
 
 
-def _fraction_of_in_flight(team: _Team, contract: Contract, total: TeamUsage) -> float:
-    # Own requests are known as they come and go; only what other routers admit and
-    # end until the next sum arrives has to be foreseen.
+def _admit_fraction_by_in_flight(
+    team: _TeamState, contract: Contract, total: TeamUsage
+) -> float:
+    # Own requests in flight are known exactly; what other routers admit and finish
+    # until the next sum arrives has to be predicted.
     others = team.others
-    if others is None or total.in_flight < IN_FLIGHT_NEAR * contract.in_flight_max:
+    if others is None or total.in_flight < IN_FLIGHT_THRESHOLD * contract.in_flight_max:
         return 1.0
-    room = contract.in_flight_max - total.in_flight
-    room_soon = room + others.done_per_s * IN_FLIGHT_HORIZON_S
-    if room_soon <= 0:
+    headroom = contract.in_flight_max - total.in_flight
+    expected_headroom = headroom + others.done_per_s * IN_FLIGHT_HORIZON_S
+    if expected_headroom <= 0:
         return 0.0
     arrivals = others.requests_per_s * IN_FLIGHT_HORIZON_S
-    return room_soon / arrivals if arrivals else 1.0
+    return expected_headroom / arrivals if arrivals else 1.0
 
 
-def hash_unit(text: str) -> float:
-    """Return a number from 0 up to 1 that depends on `text` alone."""
+def hash_to_fraction(text: str) -> float:
+    """Return a hash of `text` as a number in [0, 1)."""
     return zlib.crc32(text.encode()) / 2**32
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a team over several routers, judged by what is admitted."""
+"""Tests of fleet-wide team limits, by the requests that several routers admit."""
 
 import random
 from collections import Counter
@@ -20,25 +20,27 @@
 
 
 class Fleet:
-    """Routers in two zones, whose digests arrive at the next step of 0.1 s."""
+    """Routers in two zones; digests are delivered in the next step of 0.1 s."""
 
     def __init__(self, count, contract):
         self.contract = contract
-        self.places = [RouterLocation(f"r{i}", f"z{i % 2}") for i in range(count)]
-        self.limits = [FleetLimits(place.name) for place in self.places]
+        self.locations = [RouterLocation(f"r{i}", f"z{i % 2}") for i in range(count)]
+        self.limits = [FleetLimits(location.name) for location in self.locations]
         self.exchanges = {
-            place.name: UsageExchange(place.name, place.zone, lambda _: contract)
-            for place in self.places
+            location.name: UsageExchange(
+                location.name, location.zone, lambda _: contract
+            )
+            for location in self.locations
         }
         for exchange in self.exchanges.values():
-            exchange.set_routers(self.places, 0.0)
-        self.mail = []
-        self.ending = []
+            exchange.set_routers(self.locations, 0.0)
+        self.undelivered = []
+        self.in_service = []
         self.now_s = 0.0
-        self.cut = False
+        self.partitioned = False
 
     def run(self, seconds, rate_per_s, choose, service_s=1.0):
-        """Offer requests; returns how many were admitted and the most in flight."""
+        """Offer requests; return the number admitted and the peak in flight."""
         source = random.Random(3)
         admitted, most = 0, 0
         for _ in range(round(seconds * 10)):
@@ -50,26 +52,29 @@
                 admitted += verdict.admitted
                 assert verdict.admitted or verdict.retry_after_s >= 1.0
                 if verdict.admitted:
-                    self.ending.append((self.now_s + service_s, index))
-            most = max(most, len(self.ending))
+                    self.in_service.append((self.now_s + service_s, index))
+            most = max(most, len(self.in_service))
             self.exchange()
         return admitted, most
 
     def end(self):
-        while self.ending and self.ending[0][0] <= self.now_s:
-            self.limits[self.ending.pop(0)[1]].finish("t", 0.0, self.now_s)
+        while self.in_service and self.in_service[0][0] <= self.now_s:
+            self.limits[self.in_service.pop(0)[1]].finish("t", 0.0, self.now_s)
 
     def exchange(self):
-        mail, self.mail = self.mail, []
-        for sender, digest in mail:
-            if not self.cut or (int(sender[1:]) - int(digest.peer[1:])) % 2 == 0:
+        digests, self.undelivered = self.undelivered, []
+        for sender, digest in digests:
+            if (
+                not self.partitioned
+                or (int(sender[1:]) - int(digest.peer[1:])) % 2 == 0
+            ):
                 receiver = self.exchanges[digest.peer]
                 receiver.observe(sender, digest.entries, self.now_s)
-        for place, limits in zip(self.places, self.limits, strict=True):
-            exchange = self.exchanges[place.name]
+        for location, limits in zip(self.locations, self.limits, strict=True):
+            exchange = self.exchanges[location.name]
             usage = limits.list_usage(self.now_s)
             sent = exchange.collect(usage, self.now_s, 1000)
-            self.mail += [(place.name, digest) for digest in sent]
+            self.undelivered += [(location.name, digest) for digest in sent]
             for others in exchange.drain_updates():
                 limits.observe_others(others, self.now_s)
 
@@ -89,8 +94,8 @@
 @pytest.mark.parametrize("choose", [even, skewed, moving])
 @pytest.mark.parametrize("contract", [RATE, TOKENS])
 def test_limit_holds_over_all_routers(contract, choose):
-    # A team asks for five times its contract at eight routers.  If each router
-    # enforced the whole limit, the team would get all of it and others would wait.
+    # A team sends five times its limit to eight routers.  If each router enforced
+    # the whole limit by itself, all would be admitted and other teams would wait.
     fleet = Fleet(8, contract)
     fleet.run(10, 5 * LIMIT_PER_S, choose)
     admitted, _ = fleet.run(40, 5 * LIMIT_PER_S, choose)
@@ -100,70 +105,75 @@
 @pytest.mark.parametrize("choose", [even, skewed, moving])
 def test_team_within_its_contract_is_never_refused(choose):
     # Callers of a team mostly reach one of eight routers.  With an eighth of the
-    # limit at each, four in five of their requests would be refused.
+    # limit at each router, four in five of their requests would be refused.
     fleet = Fleet(8, RATE)
     admitted, _ = fleet.run(50, 0.7 * LIMIT_PER_S, choose)
     assert admitted == 50 * 0.7 * LIMIT_PER_S
 
 
-def test_requests_in_flight_hold_over_all_routers():
-    # Three times as many requests as the contract allows would be in flight.
+def test_in_flight_limit_holds_over_all_routers():
+    # Without the limit, three times as many requests would be in flight.
     fleet = Fleet(8, IN_FLIGHT)
     fleet.run(20, 150, even, service_s=2.0)
     _, most = fleet.run(30, 150, even, service_s=2.0)
     assert 80 <= most <= 140
 
 
-def test_cut_zone_keeps_the_limit_while_the_other_side_is_remembered():
-    # The zones cannot reach each other and take each other's routers for dead.  If
-    # each forgot at once what the other serves, the team would get twice its limit.
+def test_partitioned_zones_keep_the_limit_until_remote_usage_expires():
+    # The zones cannot reach each other and consider each other's routers dead.  If
+    # each dropped the other's usage at once, the team would get twice its limit.
     fleet = Fleet(8, RATE)
     fleet.run(20, 3 * LIMIT_PER_S, even)
-    fleet.cut = True
-    for place in fleet.places:
-        side = [other for other in fleet.places if other.zone == place.zone]
-        fleet.exchanges[place.name].set_routers(side, fleet.now_s)
+    fleet.partitioned = True
+    for location in fleet.locations:
+        side = [other for other in fleet.locations if other.zone == location.zone]
+        fleet.exchanges[location.name].set_routers(side, fleet.now_s)
     admitted, _ = fleet.run(30, 3 * LIMIT_PER_S, even)
     assert admitted / 30 == pytest.approx(LIMIT_PER_S, rel=0.2)
-    # After a minute without news each side has a limit of its own, as the operators'
-    # page says; neither goes beyond it.
+    # After a minute without reports each side enforces the whole limit by itself, as
+    # documented for operators; neither exceeds it.
     fleet.run(50, 3 * LIMIT_PER_S, even)
     admitted, _ = fleet.run(30, 3 * LIMIT_PER_S, even)
     assert admitted / 30 == pytest.approx(2 * LIMIT_PER_S, rel=0.2)
 
 
-def test_lost_home_does_not_free_the_limit():
-    # The router that sums a team's usage dies.  The next one starts with nothing;
-    # if it told that at once, everybody would be admitted until it had heard all.
+def test_limit_holds_after_loss_of_an_aggregator():
+    # The router that sums a team's usage dies, and its successor starts with an empty
+    # sum.  If it replied at once, all requests would be admitted until it had received
+    # all reports.
     fleet = Fleet(9, RATE)
-    homes = fleet.exchanges["r0"].find_homes("t")
-    alive = [i for i, place in enumerate(fleet.places) if place.name not in homes]
+    aggregators = fleet.exchanges["r0"].find_aggregators("t")
+    alive = [
+        i
+        for i, location in enumerate(fleet.locations)
+        if location.name not in aggregators
+    ]
 
     def choose(now_s, source):
         return source.choice(alive)
 
     fleet.run(20, 3 * LIMIT_PER_S, choose)
-    left = [fleet.places[i] for i in alive]
-    for place in fleet.places:
-        fleet.exchanges[place.name].set_routers(left, fleet.now_s)
+    left = [fleet.locations[i] for i in alive]
+    for location in fleet.locations:
+        fleet.exchanges[location.name].set_routers(left, fleet.now_s)
     admitted, _ = fleet.run(3, 3 * LIMIT_PER_S, choose)
     assert admitted / 3 == pytest.approx(LIMIT_PER_S, rel=0.15)
 
 
-def test_digests_keep_to_their_bytes():
-    # A router hears of 500 teams at once.  Were all passed on in one go, control
-    # traffic would take what the answers need.
+def test_digests_keep_to_the_byte_budget():
+    # 500 teams become active at a router at once.  If all were reported in one
+    # digest round, control traffic would displace responses.
     exchange = UsageExchange("r0", "z", lambda team: RATE._replace(team=team))
     exchange.set_routers([RouterLocation(f"r{i}", "z") for i in range(50)], 0.0)
     usages = [TeamUsage(f"t{i}", "router", "r0", 90, 0, 0) for i in range(500)]
     sent: Counter[int] = Counter()
-    told = set()
+    reported = set()
     for second in range(60):
         for digest in exchange.collect(usages, float(second), 1000.0):
             sent[second] += 72 + 62 * len(digest.entries)
-            told.update(usage.team for usage in digest.entries)
+            reported.update(usage.team for usage in digest.entries)
     assert sum(sent.values()) <= 1000 * 70
-    assert len(told) > 450
+    assert len(reported) > 450
 
 
 @pytest.mark.parametrize(
@@ -173,16 +183,16 @@
         ({"tokens_burst": 20.0, "tokens_per_s": 0.01}, {"tokens_burst": 900.0}),
     ],
 )
-def test_burst_that_a_contract_adds_is_granted_at_once(before, after):
-    # Guards against a team that is refused after its contract was changed to allow it
-    # more, for as long as the larger burst takes to fill.
+def test_burst_increase_of_a_contract_is_granted_at_once(before, after):
+    # If the larger burst were only refilled over time, a team would be refused after
+    # its contract was changed to allow it more.
     limits = FleetLimits("r")
     contract = LOOSE._replace(**before)
     assert [limits.admit(contract, 10.0, 1.0).admitted for _ in range(3)] == [1, 1, 0]
     assert limits.admit(contract._replace(**after), 10.0, 1.001).admitted
 
 
-def test_burst_that_a_contract_takes_away_leaves_no_debt():
+def test_burst_decrease_of_a_contract_leaves_no_debt():
     limits = FleetLimits("r")
     contract = LOOSE._replace(rate_burst=100.0, rate_per_s=0.01)
     for _ in range(101):
@@ -192,8 +202,8 @@
 
 
 def test_burst_after_a_pause_is_admitted():
-    # A team that was quiet sends as much at once as its contract allows.  Were the
-    # pause counted as use, its burst would be refused after each pause.
+    # An idle team sends its whole burst at once.  If the pause counted as use, the
+    # burst would be refused after each pause.
     contract = TOKENS._replace(tokens_burst=20_000.0)
     limits = FleetLimits("r")
     for now_s in (0.0, 60.0):
@@ -202,7 +212,7 @@
 
 
 class LimitsMachine(RuleBasedStateMachine):
-    """One router keeps the whole contract by itself, whatever it is told."""
+    """One router enforces the whole contract, whatever usage it receives."""
 
     def __init__(self):
         super().__init__()
