--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -48,10 +48,10 @@
             self.end()
             for _ in range(round(rate_per_s / 10)):
                 index = choose(self.now_s, source)
-                verdict = self.limits[index].admit(self.contract, 10.0, self.now_s)
-                admitted += verdict.admitted
-                assert verdict.admitted or verdict.retry_after_s >= 1.0
-                if verdict.admitted:
+                decision = self.limits[index].admit(self.contract, 10.0, self.now_s)
+                admitted += decision.admitted
+                assert decision.admitted or decision.retry_after_s >= 1.0
+                if decision.admitted:
                     self.in_service.append((self.now_s + service_s, index))
             most = max(most, len(self.in_service))
             self.exchange()
@@ -207,8 +207,8 @@
     contract = TOKENS._replace(tokens_burst=20_000.0)
     limits = FleetLimits("r")
     for now_s in (0.0, 60.0):
-        verdicts = [limits.admit(contract, 3000.0, now_s).admitted for _ in range(9)]
-        assert verdicts.count(True) == 7
+        decisions = [limits.admit(contract, 3000.0, now_s).admitted for _ in range(9)]
+        assert decisions.count(True) == 7
 
 
 class LimitsMachine(RuleBasedStateMachine):
