--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -18,7 +18,7 @@
     ObjectVersion,
 )
 from tamarackrill.decisions.endpoint_news import EndpointNews, hash_teller
-from tamarackrill.decisions.handing_on import HandOnBudget
+from tamarackrill.decisions.manifest_relay import HandOnBudget
 from tamarackrill.decisions.members import Entries, MemberRecord, MemberState
 from tamarackrill.decisions.membership import PeerHeard
 from tamarackrill.decisions.news_shares import TRUST_MAX_SHARE, WATCH_MAX_SHARE
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -4,14 +4,14 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tamarackrill.decisions.attempts import Outcome, Tried
-from tamarackrill.decisions.event_stream import EventStream, EventStreamFault
-from tamarackrill.decisions.waits import (
+from tamarackrill.decisions.attempt_timeouts import (
     ANSWER_SLACK_S,
     find_head_limit_s,
     find_piece_wait_s,
     find_suspect_s,
 )
+from tamarackrill.decisions.attempts import Outcome, Tried
+from tamarackrill.decisions.event_stream import EventStream, EventStreamFault
 from tamarackrill.events import CALL_SENT, log_event
 from tamarackrill.platform.headers import (
     AnswerHeaders,
--- a/tests/test_waits.py
+++ b/tests/test_attempt_timeouts.py
@@ -1,13 +1,13 @@
 import pytest
 
-from tamarackrill.decisions.manifests import Route, ServiceShare
-from tamarackrill.decisions.waits import (
+from tamarackrill.decisions.attempt_timeouts import (
     ANSWER_SLACK_S,
     SILENT_OBJECTIVES,
     STREAM_SILENT_S,
     find_head_limit_s,
     find_piece_wait_s,
 )
+from tamarackrill.decisions.manifests import Route, ServiceShare
 
 STARTED_S, LIMIT_S, OBJECTIVE_S = 10.0, 13.0, 0.2
 LAST_S = LIMIT_S + ANSWER_SLACK_S
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tamarackrill.decisions import engine_waits, waits
+from tamarackrill.decisions import attempt_timeouts, engine_waits
 from tamarackrill.decisions.configuration import ConfigurationDigest
 from tamarackrill.decisions.endpoint_news import Failures
 from tamarackrill.router import configuring, edge_app
@@ -550,7 +550,7 @@
     # All engines but one are gone, and that one stalls a stream for longer than a
     # client of an idle deployment would be left waiting.  There is nobody to go on
     # elsewhere; given up, the client would have half an answer instead of a late one.
-    monkeypatch.setattr(waits, "STREAM_SILENT_S", 0.05)
+    monkeypatch.setattr(attempt_timeouts, "STREAM_SILENT_S", 0.05)
 
     async def stall(request, writer):
         writer.write(make_stream_head(request) + make_chunk(make_event(1)))
--- a/tests/test_handing_on.py
+++ b/tests/test_manifest_relay.py
@@ -1,6 +1,6 @@
 import pytest
 
-from tamarackrill.decisions.handing_on import BURST_S, LINK_SHARE, HandOnBudget
+from tamarackrill.decisions.manifest_relay import BURST_S, LINK_SHARE, HandOnBudget
 
 LINK_BYTES_PER_S = 2_500_000.0
 
