--- a/bench/health.py
+++ b/bench/health.py
@@ -11,7 +11,7 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions import health as rules
 from tamarackrill.decisions.health import Health
-from tamarackrill.decisions.routing import Placement, PlacementRequest
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest
 
 ROUTERS = 7
 RATE_PER_S = 20.0
@@ -63,7 +63,7 @@
         self.answer = answer
         self.random = random.Random(seed)
         self.states = [Health() for _ in range(ROUTERS)]
-        self.placements = [Placement(2.0) for _ in range(ROUTERS)]
+        self.placements = [LoadBalancer(2.0) for _ in range(ROUTERS)]
         self.present = dict.fromkeys(POOL, True)
         self.homes: dict[int, str] = {}
         self.moves = self.late = self.met = 0
--- a/bench/placement_driver.py
+++ b/bench/placement_driver.py
@@ -17,12 +17,12 @@
 from tamarackrill.decisions import hashing
 from tamarackrill.decisions.cache_index import CacheAction, CacheEvent
 from tamarackrill.decisions.reservations import (
-    ASKS_MAX,
+    RESERVATION_ATTEMPTS_MAX,
     Reservations,
     find_owner,
-    must_ask,
+    must_reserve,
 )
-from tamarackrill.decisions.routing import Placement, PlacementRequest, compute_bound
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest, compute_bound
 
 
 class Scenario(NamedTuple):
@@ -99,7 +99,7 @@
     ) -> None:
         self.name = name
         self.view = dict(view)
-        self.placement = Placement(load_factor)
+        self.placement = LoadBalancer(load_factor)
         self.reservations = Reservations(load_factor)
         self.reported: dict[str, int] = {}
 
@@ -163,7 +163,7 @@
 
     reports: bool = True
     owners: bool = True
-    # Ask an owner only as `must_ask` says.
+    # Ask an owner only as `must_reserve` says.
     near_only: bool = True
 
 
@@ -321,11 +321,13 @@
             return self.pick(router, request, now_s, self.rng)
         endpoints = list(router.view.values())
         refused: list[str] = []
-        while len(refused) < ASKS_MAX - 1:
+        while len(refused) < RESERVATION_ATTEMPTS_MAX - 1:
             choice = router.placement.choose(request, endpoints, now_s, None, refused)
             if choice is None:
                 break
-            is_asked = not self.knowledge.near_only or must_ask(choice, len(endpoints))
+            is_asked = not self.knowledge.near_only or must_reserve(
+                choice, len(endpoints)
+            )
             if not is_asked or self.ask(router, request, choice.endpoint, now_s, False):
                 return choice.endpoint.name
             refused.append(choice.endpoint.name)
--- a/bench/placement_news.py
+++ b/bench/placement_news.py
@@ -18,7 +18,7 @@
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.prefix_copies import PrefixCopies
 from tamarackrill.decisions.prompts import Prefix, PromptPart, list_prefixes
-from tamarackrill.decisions.routing import Placement, PlacementRequest
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest
 from tamarackrill.protocol.news_codec import encode_news
 
 PLAY_S = 20.0
@@ -50,7 +50,7 @@
 
     def __init__(self, name: str, zone: str, engines: EndpointPool) -> None:
         self.index = CacheIndex()
-        self.placement = Placement(cache=self.index, slack=2)
+        self.placement = LoadBalancer(cache=self.index, slack=2)
         self.copies = PrefixCopies(self.index)
         self.copies.observe_endpoints(engines.by_name, 0.0)
         self.news = PlacementNews(name, zone)
--- a/bench/prefix_copies.py
+++ b/bench/prefix_copies.py
@@ -13,7 +13,7 @@
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.prefix_copies import PrefixCopies
 from tamarackrill.decisions.prompts import Prefix, PromptPart, list_prefixes
-from tamarackrill.decisions.routing import Placement, PlacementRequest
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest
 
 SIZES = (5, 45, 180, 780)
 SESSIONS = 5_135
@@ -35,7 +35,7 @@
         for n in range(engines)
     )
     names = list(pool.by_name)
-    placement = Placement(slack=2)
+    placement = LoadBalancer(slack=2)
     tracemalloc.start()
     copies = PrefixCopies(CacheIndex())
     copies.observe_endpoints(names, 0.0)
--- a/bench/routing.py
+++ b/bench/routing.py
@@ -29,7 +29,7 @@
 from tamarackrill.decisions.cache_index import CacheIndex
 from tamarackrill.decisions.loads import Loads
 from tamarackrill.decisions.reservations import Reservations
-from tamarackrill.decisions.routing import Placement, PlacementRequest
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest
 
 IMAGES = Path(__file__).parent.parent / "docs" / "img"
 LOAD_FACTORS = (1.05, 1.1, 1.25, 1.5, 1.75, 2.0, 2.5, 3.0)
@@ -163,7 +163,7 @@
 
 
 def _measure_decision(count: int) -> dict[str, float]:
-    pool, placement, owner = make_pool(count), Placement(1.5), Reservations(1.5)
+    pool, placement, owner = make_pool(count), LoadBalancer(1.5), Reservations(1.5)
     for endpoint in pool:
         placement.observe_report(endpoint.name, 3, 0.0, 1.0)
         owner.loads.observe_report(endpoint.name, 3, 0.0, 1.0)
--- a/src/tamarackrill/decisions/attempt_timeouts.py
+++ b/src/tamarackrill/decisions/attempt_timeouts.py
@@ -15,24 +15,24 @@
 from tamarackrill.decisions.manifests import Route
 
 # An answer that an endpoint ends just at its deadline is on its way for so long.
-ANSWER_SLACK_S = 0.08
+RESPONSE_TRANSIT_S = 0.08
 # An endpoint of lookups that is silent for this many objectives is given up for
 # another; lookups that fail do so within one.
 SILENT_OBJECTIVES = 2.5
 # A stream that may go on elsewhere and is silent for so long does: a client leaves
 # after two seconds, and the other endpoint has to read the prompt first.
-STREAM_SILENT_S = 1.0
+STREAM_STALL_TIMEOUT_S = 1.0
 # A request without an answer after this many objectives is evidence that its endpoint
 # is out of order, though it may still answer: those of 95 in 100 come within one.
 SUSPECT_OBJECTIVES = 4.0
 
 
-def find_suspect_s(route: Route) -> float:
+def find_suspicion_timeout_s(route: Route) -> float:
     """Return after how long without an answer an endpoint is suspected."""
     return SUSPECT_OBJECTIVES * route.objective_s
 
 
-def find_head_limit_s(
+def find_header_deadline_s(
     route: Route,
     sent: int,
     has_other: bool,
@@ -57,14 +57,14 @@
     limit_s : float
         When the client's deadline or the route's timeout is reached.
     """
-    last_s = limit_s + ANSWER_SLACK_S
+    last_s = limit_s + RESPONSE_TRANSIT_S
     may_repeat = sent + 1 < route.attempts_max and repeats_left >= 1.0
     if route.kind != "idempotent" or not may_repeat or not has_other:
         return last_s
     return min(last_s, started_s + SILENT_OBJECTIVES * route.objective_s)
 
 
-def find_piece_wait_s(route: Route, sent: int, has_begun: bool) -> float | None:
+def find_chunk_timeout_s(route: Route, sent: int, has_begun: bool) -> float | None:
     """Return how long the next piece of a stream is waited for; None for its limit.
 
     A stream that has been silent for so long goes on elsewhere if there is another
@@ -81,5 +81,5 @@
     """
     has_another = sent + 1 < route.attempts_max
     if route.may_repeat and has_another and has_begun:
-        return STREAM_SILENT_S
+        return STREAM_STALL_TIMEOUT_S
     return None
--- a/src/tamarackrill/decisions/cache_index.py
+++ b/src/tamarackrill/decisions/cache_index.py
@@ -20,10 +20,10 @@
 CHATS_KEPT = 16_384
 # Engines remembered for one chat: the last one, the one before an overflow, and one
 # more for a flap during the overflow.
-HOLDERS_KEPT = 3
+HOLDERS_MAX = 3
 # Engines cache in limited memory: after this long without use a prefix is taken to be
 # gone, so that a chat that comes back after hours goes where hashing sends it.
-HOLDING_KEPT_S = 3600.0
+PREFIX_TTL_S = 3600.0
 
 CacheAction = Literal["stored", "evicted", "cleared"]
 
@@ -112,14 +112,14 @@
         found = [
             Holder(endpoint, holding.tokens, self._is_certain(endpoint, holding))
             for endpoint, holding in self._chats.get(chat, {}).items()
-            if holding.known_s > now_s - HOLDING_KEPT_S
+            if holding.known_s > now_s - PREFIX_TTL_S
             and holding.known_s > self._cleared_s.get(endpoint, float("-inf"))
         ]
         # The name decides between two that hold as much, as routers that know the same
         # must choose alike.
         return sorted(found, key=lambda h: (-h.is_certain, -h.tokens, h.endpoint))
 
-    def list_newest(self, count: int, now_s: float) -> list[tuple[str, Holder]]:
+    def list_recent(self, count: int, now_s: float) -> list[tuple[str, Holder]]:
         """Return up to `count` of the chats last heard of, each with its holders."""
         found: list[tuple[str, Holder]] = []
         for chat in reversed(self._chats):
@@ -136,7 +136,7 @@
         holdings = self._chats.setdefault(chat, {})
         self._chats.move_to_end(chat)
         holdings[endpoint] = holding
-        if len(holdings) > HOLDERS_KEPT:
+        if len(holdings) > HOLDERS_MAX:
             oldest = min(holdings, key=lambda name: holdings[name].known_s)
             del holdings[oldest]
         if len(self._chats) > self._chats_kept:
--- a/src/tamarackrill/decisions/endpoint_news.py
+++ b/src/tamarackrill/decisions/endpoint_news.py
@@ -20,7 +20,7 @@
 from tamarackrill.decisions.loads import EndpointLoad
 
 # A load of less than this share of the bound keeps nobody from sending there.  Told
-# from 0.6 of it on, 1.1 in 100 of the requests named at `loads.NEWS_KEPT_S` came to an
+# from 0.6 of it on, 1.1 in 100 of the requests named at `loads.NEWS_TTL_S` came to an
 # engine above the bound, and 0.8 with this: others push aside what counts.
 LOAD_TOLD_SHARE = 0.8
 # Endpoints whose load one router tells in one tick, the fullest ones; it hears of two
--- a/src/tamarackrill/decisions/engine_waits.py
+++ b/src/tamarackrill/decisions/engine_waits.py
@@ -60,7 +60,7 @@
     return max(0, 2 * (team - 1) + min(route_priority, _RANK_MAX))
 
 
-def choose_priority(urgency: int, is_held: bool) -> int:
+def choose_priority(urgency: int, is_cached: bool) -> int:
     """Return the priority among an engine's requests, from 0, the first, to 9.
 
     Without it a few long prompts that have to be read hold up all those behind them.
@@ -69,14 +69,14 @@
     ----------
     urgency : int
         See `rank_urgency`.
-    is_held : bool
+    is_cached : bool
         Whether the engine holds the prompt.  It is then read in a hundredth of the
         time, so that few wait for it and many would wait behind those that are not.
     """
-    return min(PRIORITY_MAX, urgency + (3 if is_held else 5))
+    return min(PRIORITY_MAX, urgency + (3 if is_cached else 5))
 
 
-def find_tolerated_s(objective_s: float, urgency: int, is_held: bool) -> float:
+def compute_wait_limit_s(objective_s: float, urgency: int, is_cached: bool) -> float:
     """Return the longest wait of others that a prompt tolerates.
 
     Parameters
@@ -85,11 +85,11 @@
         Time in which its first event is on time.
     urgency : int
         See `rank_urgency`.
-    is_held : bool
+    is_cached : bool
         Whether the engine holds the prompt.
     """
     multiple = TOLERATED if urgency else TOLERATED_URGENT
-    return objective_s * multiple * (1.0 if is_held else UNREAD_SHARE)
+    return objective_s * multiple * (1.0 if is_cached else UNREAD_SHARE)
 
 
 class EngineWaits:
@@ -130,7 +130,7 @@
         ended_s, waited_s = self._ended.get(engine, (now_s, 0.0))
         return max(longest_s, waited_s * 0.5 ** ((now_s - ended_s) / HALF_LIFE_S))
 
-    def find_slow(
+    def find_slow_engines(
         self,
         objective_s: float,
         urgency: int,
@@ -142,7 +142,7 @@
         Parameters
         ----------
         objective_s, urgency
-            See `find_tolerated_s`.
+            See `compute_wait_limit_s`.
         holders : collection of str
             Engines that hold the prompt.
         now_s : float
@@ -152,7 +152,7 @@
         slow = {}
         for engine in self._sent_s.keys() | self._ended.keys():
             wait_s = self.find_wait_s(engine, now_s)
-            if wait_s > find_tolerated_s(objective_s, urgency, engine in holders):
+            if wait_s > compute_wait_limit_s(objective_s, urgency, engine in holders):
                 slow[engine] = wait_s
         return slow
 
--- a/src/tamarackrill/decisions/loads.py
+++ b/src/tamarackrill/decisions/loads.py
@@ -36,7 +36,7 @@
 # routers to 45 engines with hot sessions, 1.1 in 100 came to one above twice the mean
 # and 3 with 1 s, 1.6 with 1.5 s, and 9.2 without news (simulated, three seeds, loads
 # told from 0.6 of the bound on).
-NEWS_KEPT_S = 1.0
+NEWS_TTL_S = 1.0
 # Longest time from an owner's count to its arrival here: digests are collected once a
 # tick of the gossip, and ride on all messages until the next one.
 DIGEST_AGE_MAX_S = 1.0
@@ -170,14 +170,16 @@
             word = _Word(others, now_s, now_s + REPORT_KEPT_S)
             self._take_word(entry.endpoint, word)
 
-    def observe_news(self, entries: Iterable[EndpointLoad], now_s: float) -> None:
+    def observe_hot_endpoints(
+        self, entries: Iterable[EndpointLoad], now_s: float
+    ) -> None:
         """Take loads of the fullest endpoints, as other routers have heard of them."""
         counted_s = now_s - NEWS_AGE_S
         for entry in entries:
             requests = self._own.get(entry.endpoint)
             own_then = requests.at(counted_s) if requests else 0
             others = max(0, entry.in_flight - own_then)
-            word = _Word(others, counted_s, now_s + NEWS_KEPT_S, is_usual=False)
+            word = _Word(others, counted_s, now_s + NEWS_TTL_S, is_usual=False)
             self._take_word(entry.endpoint, word)
 
     def _take_word(self, endpoint: str, word: _Word) -> None:
--- a/src/tamarackrill/decisions/manifest_relay.py
+++ b/src/tamarackrill/decisions/manifest_relay.py
@@ -15,7 +15,7 @@
 BURST_S = 0.25
 
 
-class HandOnBudget:
+class RelayBudget:
     """How many bytes one router may still hand on.
 
     Parameters
--- a/src/tamarackrill/decisions/placement_news.py
+++ b/src/tamarackrill/decisions/placement_news.py
@@ -29,7 +29,7 @@
 # Between two batches of a router.  News is on its way for three ticks at most.  What is
 # told of sessions would bear a quarter of a second, as those come back after seconds;
 # loads are old after a few tenths: with 0.25 s, 4.1 in 100 of the requests that are
-# named at `NEWS_KEPT_S` came to an engine above the bound, with 0.1 s 1.1.
+# named at `NEWS_TTL_S` came to an engine above the bound, with 0.1 s 1.1.
 TICK_S = 0.1
 # Most bytes of one entry as it is sent: hash, tokens and the engine's name.
 ENTRY_BYTES = 32
--- a/src/tamarackrill/decisions/pools.py
+++ b/src/tamarackrill/decisions/pools.py
@@ -16,7 +16,7 @@
 # and without the few that single requests have to avoid.
 NARROWED_KEPT = 16
 # Endpoints that are looked at in order of preference before all are ranked.
-RANK_SHORT = 8
+SHORTLIST_SIZE = 8
 
 
 class EndpointPool:
@@ -49,7 +49,7 @@
         """Return the endpoints of one availability zone."""
         return self._zones.get(zone, _EMPTY)
 
-    def leave_out(self, names: Collection[str]) -> "EndpointPool":
+    def exclude(self, names: Collection[str]) -> "EndpointPool":
         """Return the pool without some endpoints.
 
         The same ones are left out for many requests, those of a zone that is cut off
--- a/src/tamarackrill/decisions/prefix_copies.py
+++ b/src/tamarackrill/decisions/prefix_copies.py
@@ -20,14 +20,14 @@
 from collections.abc import Collection, Iterable, Sequence
 
 from tamarackrill.contracts import Endpoint
-from tamarackrill.decisions.cache_index import HOLDERS_KEPT, CacheIndex
+from tamarackrill.decisions.cache_index import HOLDERS_MAX, CacheIndex
 from tamarackrill.decisions.placement_news import Held
-from tamarackrill.decisions.pools import RANK_SHORT, EndpointPool
+from tamarackrill.decisions.pools import SHORTLIST_SIZE, EndpointPool
 from tamarackrill.decisions.prompts import Prefix
 
 # Engines compute some hundred prompt tokens a millisecond.  A copy that takes longer
 # for each token than that would hold the request up, not speed it up.
-COPY_TOKEN_MAX_S = 8e-6
+COPY_S_PER_TOKEN_MAX = 8e-6
 # For so long after it joined an endpoint is not where others sent a session before;
 # sessions that are in use come back within seconds, and most parts are cold after that.
 NEWCOMER_S = 30.0
@@ -58,7 +58,7 @@
         joined_s = -math.inf if is_first else now_s
         self._joined_s = {name: known.get(name, joined_s) for name in names}
 
-    def forget_engine(self, name: str, now_s: float) -> None:
+    def record_restart(self, name: str, now_s: float) -> None:
         """Take that an engine has started anew, and holds nothing."""
         self._index.forget_endpoint(name, now_s)
         self._joined_s[name] = now_s
@@ -74,7 +74,7 @@
         found = []
         for prefix in prefixes:
             holders = self._list_holders(prefix.key, now_s)
-            if engine not in holders and len(holders) < HOLDERS_KEPT:
+            if engine not in holders and len(holders) < HOLDERS_MAX:
                 found.append(Held(engine, prefix.key, prefix.tokens))
             self._index.record_send(prefix.key, engine, prefix.tokens, now_s)
         return found
@@ -129,7 +129,7 @@
 
     def _find_elder(self, key: str, engines: EndpointPool, now_s: float) -> str | None:
         """Return where a prefix was sent before the latest endpoints joined."""
-        for count in (RANK_SHORT, len(engines)):
+        for count in (SHORTLIST_SIZE, len(engines)):
             for name in engines.rank(key, count):
                 if self._joined_s.get(name, now_s) <= now_s - NEWCOMER_S:
                     return name
--- a/src/tamarackrill/decisions/reservations.py
+++ b/src/tamarackrill/decisions/reservations.py
@@ -22,11 +22,11 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions import hashing
 from tamarackrill.decisions.loads import DIGEST_ENTRIES_MAX, EndpointLoad, Loads
-from tamarackrill.decisions.routing import Choice, compute_bound
+from tamarackrill.decisions.routing import EndpointChoice, compute_bound
 
 # Owners asked for one request.  Each refusal brings the owner's fresh count, so a
 # second one is rare; the limit keeps a request from going round in an outage.
-ASKS_MAX = 4
+RESERVATION_ATTEMPTS_MAX = 4
 # Endpoints of a pool that one router owns together: it then knows their mean exactly,
 # where the rounded bound of a small mean hangs on a single request.  At 8.3 requests
 # a second for each engine, 8 engines cost their owner 66 answers of 40 bytes a second,
@@ -38,10 +38,10 @@
 ASK_FROM_SHARE = 0.9
 # How long the home waits for the owner: two round trips between availability zones
 # (1.5 ms one way), and the pause of a garbage collection.
-ASK_TIMEOUT_S = 0.05
+RESERVATION_TIMEOUT_S = 0.05
 
 
-class Grant(NamedTuple):
+class ReservationReply(NamedTuple):
     """An owner's answer.
 
     Parameters
@@ -80,7 +80,7 @@
     return hashing.rendezvous_order(f"owner/{key}", routers, 1)[0]
 
 
-def must_ask(choice: Choice, pool_size: int) -> bool:
+def must_reserve(choice: EndpointChoice, pool_size: int) -> bool:
     """Return whether the owner has to be asked before a request is sent.
 
     Parameters
@@ -111,7 +111,7 @@
         expires_s: float,
         now_s: float,
         is_last: bool = False,
-    ) -> Grant:
+    ) -> ReservationReply:
         """Decide on a request to one of this router's endpoints.
 
         Parameters
@@ -129,9 +129,10 @@
         now_s : float
             The present time.
         is_last : bool, default=False
-            Whether `ASKS_MAX` is reached and this endpoint is the emptiest known.
-            In a burst all owners know an old, lower mean and refuse; the emptiest is
-            then below the true bound, and is granted unless its slots are full.
+            Whether this is attempt `RESERVATION_ATTEMPTS_MAX`, at the least loaded
+            endpoint known.  In a burst all owners know an old, lower mean and refuse;
+            that endpoint is then below the true bound, and the request is granted
+            unless its slots are full.
 
         Returns
         -------
@@ -140,19 +141,19 @@
         names = [other.name for other in pool if other.state == "live"]
         estimates = dict(zip(names, self.loads.estimate(names, now_s), strict=True))
         if endpoint.name not in estimates:
-            return Grant(False, self.loads.own(endpoint.name))
+            return ReservationReply(False, self.loads.own(endpoint.name))
         load = estimates[endpoint.name]
         # The answer to the first ask may have been lost; counting the request twice
         # would keep a slot of the endpoint empty until the reservation lapses.
         if request in self._held:
-            return Grant(True, load)
+            return ReservationReply(True, load)
         total = sum(estimates.values()) + 1
         bound = compute_bound(self.load_factor, total, len(names))
         if load >= (endpoint.slots if is_last else min(bound, endpoint.slots)):
-            return Grant(False, load)
+            return ReservationReply(False, load)
         self._held[request] = _Reservation(endpoint.name, router, expires_s)
         self.loads.start(endpoint.name, now_s)
-        return Grant(True, load + 1)
+        return ReservationReply(True, load + 1)
 
     def release(self, request: str, now_s: float) -> None:
         """End a reservation; one that has ended already is passed over."""
--- a/src/tamarackrill/decisions/routing.py
+++ b/src/tamarackrill/decisions/routing.py
@@ -24,7 +24,7 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.cache_index import CacheEvent, CacheIndex
 from tamarackrill.decisions.loads import EndpointLoad, Loads
-from tamarackrill.decisions.pools import RANK_SHORT, EndpointPool, make_pool
+from tamarackrill.decisions.pools import SHORTLIST_SIZE, EndpointPool, make_pool
 
 LOAD_FACTOR_DEFAULT = 1.5
 # A chat goes back to its first engine when that holds this share of the longest known
@@ -53,7 +53,7 @@
     tokens: int = 0
 
 
-class Choice(NamedTuple):
+class EndpointChoice(NamedTuple):
     """An endpoint for a request, and why.
 
     Parameters
@@ -97,7 +97,7 @@
     return max(1, math.ceil(load_factor * total / count) + slack)
 
 
-class Placement:
+class LoadBalancer:
     """State of the placement of one router.
 
     Parameters
@@ -136,7 +136,7 @@
         refused: Collection[str] = (),
         slots_multiple: int = 1,
         bounded_by: EndpointPool | None = None,
-    ) -> Choice | None:
+    ) -> EndpointChoice | None:
         """Return where `request` goes, or None if all endpoints are full.
 
         Parameters
@@ -232,8 +232,8 @@
 
     def _choose_for_chat(
         self, request: PlacementRequest, pool: EndpointPool, look: "_Look", now_s: float
-    ) -> Choice | None:
-        order = pool.rank(request.chat, RANK_SHORT)
+    ) -> EndpointChoice | None:
+        order = pool.rank(request.chat, SHORTLIST_SIZE)
         holders = self._rank_holders(request.chat, order[0], now_s)
         holders = [name for name in holders if name in pool.by_name]
         walk = [*holders, *(name for name in order if name not in holders)]
@@ -248,7 +248,7 @@
             reason = "cached"
         else:
             reason = "hashed" if chosen == order[0] else "overflow"
-        return Choice(pool.by_name[chosen], reason, tuple(open_ones[1:3]))
+        return EndpointChoice(pool.by_name[chosen], reason, tuple(open_ones[1:3]))
 
     def _rank_holders(self, chat: str, first: str, now_s: float) -> list[str]:
         holders = self.cache.holders(chat, now_s)
@@ -281,19 +281,21 @@
 
 def _choose_of_two(
     request: PlacementRequest, pool: EndpointPool, look: _Look
-) -> Choice | None:
+) -> EndpointChoice | None:
     """Return the emptier of two, in the caller's zone if one there is free.
 
     The two are drawn by the request's own key, so that routers that know the same
     loads do not all take the same endpoint.
     """
     for among in (pool.select_zone(request.zone), pool):
-        for count in (RANK_SHORT, len(among)):
+        for count in (SHORTLIST_SIZE, len(among)):
             ranked = among.rank(request.key, count)
             drawn = [name for name in ranked if look.is_free(name)][:2]
             if len(drawn) == 2:
                 break
         if drawn:
             drawn.sort(key=look.find_load)
-            return Choice(pool.by_name[drawn[0]], "least_of_two", tuple(drawn[1:]))
+            return EndpointChoice(
+                pool.by_name[drawn[0]], "least_of_two", tuple(drawn[1:])
+            )
     return None
--- a/src/tamarackrill/protocol/owner_codec.py
+++ b/src/tamarackrill/protocol/owner_codec.py
@@ -40,7 +40,7 @@
 
 
 class Answer(NamedTuple):
-    """An owner's answer; see `Grant`."""
+    """An owner's answer; see `ReservationReply`."""
 
     ticket: int
     is_granted: bool
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -18,7 +18,7 @@
     ObjectVersion,
 )
 from tamarackrill.decisions.endpoint_news import EndpointNews, hash_teller
-from tamarackrill.decisions.manifest_relay import HandOnBudget
+from tamarackrill.decisions.manifest_relay import RelayBudget
 from tamarackrill.decisions.members import Entries, MemberRecord, MemberState
 from tamarackrill.decisions.membership import PeerHeard
 from tamarackrill.decisions.news_shares import TRUST_MAX_SHARE, WATCH_MAX_SHARE
@@ -155,7 +155,7 @@
             Member(settings.name, address, settings.zone, peer_address=address)
         )
         self._teller_zones: dict[int, str] = {}
-        self._hand_on = HandOnBudget(settings.link_bytes_per_s)
+        self._hand_on = RelayBudget(settings.link_bytes_per_s)
         self._fleet_size = FleetSize()
         self.cut_off = CutOffWatch(
             settings.zone, self.view, self.placer, self.members, self.clock
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 from tamarackrill.decisions.attempt_timeouts import (
-    ANSWER_SLACK_S,
-    find_head_limit_s,
-    find_piece_wait_s,
-    find_suspect_s,
+    RESPONSE_TRANSIT_S,
+    find_chunk_timeout_s,
+    find_header_deadline_s,
+    find_suspicion_timeout_s,
 )
 from tamarackrill.decisions.attempts import Outcome, Tried
 from tamarackrill.decisions.event_stream import EventStream, EventStreamFault
@@ -148,7 +148,7 @@
         self._placer.start(call, placed, started_s)
         is_clean = False
         suspecting = asyncio.get_running_loop().call_later(
-            find_suspect_s(call.route), self._placer.observe_silence, endpoint
+            find_suspicion_timeout_s(call.route), self._placer.observe_silence, endpoint
         )
         try:
             result = await self._exchange(
@@ -191,7 +191,7 @@
     ) -> Result:
         call = progress.call
         self._send(progress, placed, channel)
-        limit_s = find_head_limit_s(
+        limit_s = find_header_deadline_s(
             call.route,
             progress.tried.sent,
             self._has_other(progress, placed),
@@ -209,7 +209,7 @@
             self.paths.note_answer(placed.endpoint)
             if facts.load is not None:
                 self._placer.observe_load(placed, facts.load, self._clock())
-            async with asyncio.timeout_at(call.limit_s + ANSWER_SLACK_S):
+            async with asyncio.timeout_at(call.limit_s + RESPONSE_TRANSIT_S):
                 result = await self._take(progress, placed, channel, head, facts)
         except TimeoutError:
             return Result("lost", "silent")
@@ -311,7 +311,9 @@
         self, progress: Progress, placed: EdgePlaced, channel: Channel
     ) -> bytes:
         has_begun = progress.reply.has_begun
-        wait_s = find_piece_wait_s(progress.call.route, progress.tried.sent, has_begun)
+        wait_s = find_chunk_timeout_s(
+            progress.call.route, progress.tried.sent, has_begun
+        )
         while True:
             try:
                 async with asyncio.timeout(wait_s):
--- a/src/tamarackrill/router/edge_placing.py
+++ b/src/tamarackrill/router/edge_placing.py
@@ -21,9 +21,13 @@
 from tamarackrill.decisions.placement_news import Held
 from tamarackrill.decisions.poison import Poison
 from tamarackrill.decisions.pools import EndpointPool
-from tamarackrill.decisions.prefix_copies import COPY_TOKEN_MAX_S, PrefixCopies
+from tamarackrill.decisions.prefix_copies import COPY_S_PER_TOKEN_MAX, PrefixCopies
 from tamarackrill.decisions.reach import Reach
-from tamarackrill.decisions.routing import Choice, Placement, PlacementRequest
+from tamarackrill.decisions.routing import (
+    EndpointChoice,
+    LoadBalancer,
+    PlacementRequest,
+)
 from tamarackrill.events import (
     ENDPOINT_EJECTED,
     ENDPOINT_MISPLACED,
@@ -121,7 +125,7 @@
         self._view = view
         self._zone = zone
         self.index = CacheIndex()
-        self.placement = Placement(
+        self.placement = LoadBalancer(
             max(1.0, LOAD_CAP_SHARE * load_cap), cache=self.index, slack=LOAD_SLACK
         )
         self.health = Health()
@@ -170,7 +174,7 @@
         """
         self.poison.check(call.fingerprint, now_s)
         pool = self._view.find_pool(call.service)
-        probed = self._choose_probe(call, pool.leave_out(avoid), now_s)
+        probed = self._choose_probe(call, pool.exclude(avoid), now_s)
         if probed is not None:
             return probed
         slow = self._find_slow(call, now_s) if may_refuse else {}
@@ -187,21 +191,25 @@
         if not call.is_stream:
             return {}
         holders = [h.endpoint for h in self.index.holders(call.session, now_s)]
-        return self.waits.find_slow(
+        return self.waits.find_slow_engines(
             call.route.objective_s, call.urgency, holders, now_s
         )
 
     def _place(
-        self, call: EdgeCall, choice: Choice, avoid: Collection[str], now_s: float
+        self,
+        call: EdgeCall,
+        choice: EndpointChoice,
+        avoid: Collection[str],
+        now_s: float,
     ) -> EdgePlaced:
-        is_held = choice.reason == "cached"
+        is_cached = choice.reason == "cached"
         return EdgePlaced(
             choice.endpoint,
             choice.reason,
             choice.load,
             choice.bound,
             self._find_source(call, choice.endpoint, avoid, now_s),
-            choose_priority(call.urgency, is_held) if call.is_stream else None,
+            choose_priority(call.urgency, is_cached) if call.is_stream else None,
         )
 
     def _find_barred(self, avoid: Collection[str], now_s: float) -> set[str]:
@@ -213,7 +221,7 @@
     ) -> bool:
         """Return whether an endpoint besides those to avoid can be reached."""
         pool = self._view.find_pool(call.service)
-        return bool(len(pool.leave_out(self._find_barred(avoid, now_s))))
+        return bool(len(pool.exclude(self._find_barred(avoid, now_s))))
 
     def _find_source(
         self, call: EdgeCall, chosen: Endpoint, avoid: Collection[str], now_s: float
@@ -231,7 +239,7 @@
         service = None if table is None else table.services.get(service_name)
         if service is None or service.copy_token_s is None:
             return False
-        return service.copy_token_s <= COPY_TOKEN_MAX_S
+        return service.copy_token_s <= COPY_S_PER_TOKEN_MAX
 
     def _list_pools(
         self, pool: EndpointPool, call: EdgeCall, avoid: Collection[str], now_s: float
@@ -245,7 +253,7 @@
         unsound = doubtful | self.health.find_kept_out(pool.by_name, now_s)
         unsound |= self._find_failing(call.service, pool, now_s)
         suspected = unsound | self.poison.find_avoided(call.fingerprint, now_s)
-        return [pool.leave_out(names) for names in (suspected, unsound, doubtful)]
+        return [pool.exclude(names) for names in (suspected, unsound, doubtful)]
 
     def _find_failing(self, service: str, pool: EndpointPool, now_s: float) -> set[str]:
         if self.fleet_health.is_quiet:
@@ -281,7 +289,7 @@
         reached: EndpointPool,
         slow: Collection[str],
         now_s: float,
-    ) -> Choice | None:
+    ) -> EndpointChoice | None:
         request = _make_request(call, self._zone)
         for multiple in (1, QUEUE_MULTIPLE):
             choice = self.placement.choose(
@@ -341,7 +349,7 @@
     def take_facts(self, facts: list[Fact], now_s: float) -> None:
         """Take what routers tell of endpoints."""
         loads = [fact for fact in facts if isinstance(fact, EndpointLoad)]
-        self.placement.loads.observe_news(loads, now_s)
+        self.placement.loads.observe_hot_endpoints(loads, now_s)
         for fact in facts:
             if isinstance(fact, Failures):
                 self.fleet_health.observe(fact, now_s)
@@ -413,7 +421,7 @@
 
     def _forget(self, name: str, now_s: float) -> None:
         log_event(ENDPOINT_RESTARTED, endpoint=name)
-        self.copies.forget_engine(name, now_s)
+        self.copies.record_restart(name, now_s)
         self.placement.loads.remove(name)
         self.health.remove(name)
         self.fleet_health.remove(name)
--- a/src/tamarackrill/router/owners.py
+++ b/src/tamarackrill/router/owners.py
@@ -10,8 +10,8 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.loads import EndpointLoad
 from tamarackrill.decisions.reservations import (
-    ASK_TIMEOUT_S,
-    Grant,
+    RESERVATION_TIMEOUT_S,
+    ReservationReply,
     Reservations,
     find_owner,
 )
@@ -76,7 +76,7 @@
         # A router that restarts under its name must not meet the tickets that it had
         # before: an ask would pass for a repeated one and not be counted.
         self._numbers = itertools.count(secrets.randbits(TICKET_BITS))
-        self._waiting: dict[int, asyncio.Future[Grant]] = {}
+        self._waiting: dict[int, asyncio.Future[ReservationReply]] = {}
         self._present: set[str] = set()
         self._basis: tuple[list[tuple[str, tuple[str, ...]]], list[str]] = ([], [])
         self._owner_names: dict[str, str] = {}
@@ -100,7 +100,7 @@
 
     async def reserve(
         self, endpoint: Endpoint, lapses_s: float, is_last: bool
-    ) -> tuple[Grant | None, Ticket]:
+    ) -> tuple[ReservationReply | None, Ticket]:
         """Ask the owner of an endpoint for a reservation.
 
         Returns
@@ -116,18 +116,20 @@
         ask = Ask(own, number, endpoint.name, int(lapses_s * 1000), is_last)
         if owner.name == own:
             return self._decide(ask), Ticket(own, number)
-        future: asyncio.Future[Grant] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[ReservationReply] = (
+            asyncio.get_running_loop().create_future()
+        )
         self._waiting[number] = future
         self._send_message(owner, ask)
         ticket = Ticket(owner.name, number)
         try:
-            return await asyncio.wait_for(future, ASK_TIMEOUT_S), ticket
+            return await asyncio.wait_for(future, RESERVATION_TIMEOUT_S), ticket
         except TimeoutError:
             log_event(
                 OWNER_SILENT,
                 endpoint=endpoint.name,
                 owner=owner.name,
-                waited_s=ASK_TIMEOUT_S,
+                waited_s=RESERVATION_TIMEOUT_S,
             )
             # The ask may have been granted and only its answer lost.
             self.release(ticket)
@@ -153,7 +155,9 @@
         elif isinstance(message, Answer):
             future = self._waiting.get(message.ticket)
             if future is not None and not future.done():
-                future.set_result(Grant(message.is_granted, message.in_flight))
+                future.set_result(
+                    ReservationReply(message.is_granted, message.in_flight)
+                )
         elif isinstance(message, Release):
             request = _name_request(message.sender, message.ticket)
             self.reservations.release(request, self._clock())
@@ -177,7 +181,7 @@
             if member.name == ask.sender and grant is not None:
                 self._send_message(member, Answer(ask.ticket, *grant))
 
-    def _decide(self, ask: Ask) -> Grant | None:
+    def _decide(self, ask: Ask) -> ReservationReply | None:
         now_s = self._clock()
         endpoints = {endpoint.name: endpoint for endpoint in self._list_endpoints()}
         endpoint = endpoints.get(ask.endpoint)
--- a/src/tamarackrill/router/placement_telling.py
+++ b/src/tamarackrill/router/placement_telling.py
@@ -112,7 +112,7 @@
 
     def encode_known(self) -> bytes:
         """Return what this router knows, for one that has just started."""
-        found = self._index.list_newest(LEARNED_MAX, self._clock())
+        found = self._index.list_recent(LEARNED_MAX, self._clock())
         entries = tuple(Held(h.endpoint, key, h.tokens) for key, h in reversed(found))
         return write_news(News(self._members.own.name, Stage.DELIVERED, entries))
 
--- a/src/tamarackrill/router/placing.py
+++ b/src/tamarackrill/router/placing.py
@@ -11,11 +11,11 @@
     Poison,
     shorten_fingerprint,
 )
-from tamarackrill.decisions.reservations import ASKS_MAX, must_ask
+from tamarackrill.decisions.reservations import RESERVATION_ATTEMPTS_MAX, must_reserve
 from tamarackrill.decisions.routing import (
     LOAD_FACTOR_DEFAULT,
-    Choice,
-    Placement,
+    EndpointChoice,
+    LoadBalancer,
     PlacementRequest,
 )
 from tamarackrill.events import (
@@ -74,7 +74,7 @@
         self._owners = owners
         self._zone = zone
         self._known: set[str] = set()
-        self.placement = Placement(load_factor)
+        self.placement = LoadBalancer(load_factor)
         self.health = Health()
         self.poison = Poison()
         self.tell_crash: Callable[[CrashCount], None] = lambda count: None
@@ -120,7 +120,7 @@
         """
         allowed = self._list_allowed(call, now_s)
         refused = set(avoid)
-        for _ in range(ASKS_MAX - 1):
+        for _ in range(RESERVATION_ATTEMPTS_MAX - 1):
             choice = self._choose(call, allowed, refused, now_s)
             if choice is None:
                 break
@@ -169,7 +169,7 @@
         allowed: list[Endpoint],
         refused: Collection[str],
         now_s: float,
-    ) -> Choice | None:
+    ) -> EndpointChoice | None:
         fingerprint = shorten_fingerprint(call.fingerprint)
         self.poison.check(fingerprint, now_s)
         names = [endpoint.name for endpoint in allowed]
@@ -185,7 +185,7 @@
 
     def _choose_emptiest(
         self, allowed: list[Endpoint], avoid: Collection[str], now_s: float
-    ) -> Choice | None:
+    ) -> EndpointChoice | None:
         names = [endpoint.name for endpoint in allowed]
         loads = self.placement.loads.estimate(names, now_s)
         open_ones = [
@@ -193,14 +193,16 @@
             for load, endpoint in zip(loads, allowed, strict=True)
             if endpoint.name not in avoid and load < endpoint.slots
         ]
-        return Choice(min(open_ones)[2], "emptiest") if open_ones else None
+        return EndpointChoice(min(open_ones)[2], "emptiest") if open_ones else None
 
-    def _needs_owner(self, choice: Choice, pool_size: int) -> bool:
+    def _needs_owner(self, choice: EndpointChoice, pool_size: int) -> bool:
         is_engine = choice.endpoint.kind == "engine"
-        return self._owners is not None and is_engine and must_ask(choice, pool_size)
+        return (
+            self._owners is not None and is_engine and must_reserve(choice, pool_size)
+        )
 
     async def _reserve(
-        self, call: Call, choice: Choice, now_s: float, is_last: bool = False
+        self, call: Call, choice: EndpointChoice, now_s: float, is_last: bool = False
     ) -> Placed | None:
         assert self._owners is not None
         name = choice.endpoint.name
--- a/tests/test_attempt_timeouts.py
+++ b/tests/test_attempt_timeouts.py
@@ -1,16 +1,16 @@
 import pytest
 
 from tamarackrill.decisions.attempt_timeouts import (
-    ANSWER_SLACK_S,
+    RESPONSE_TRANSIT_S,
     SILENT_OBJECTIVES,
-    STREAM_SILENT_S,
-    find_head_limit_s,
-    find_piece_wait_s,
+    STREAM_STALL_TIMEOUT_S,
+    find_chunk_timeout_s,
+    find_header_deadline_s,
 )
 from tamarackrill.decisions.manifests import Route, ServiceShare
 
 STARTED_S, LIMIT_S, OBJECTIVE_S = 10.0, 13.0, 0.2
-LAST_S = LIMIT_S + ANSWER_SLACK_S
+LAST_S = LIMIT_S + RESPONSE_TRANSIT_S
 
 
 def make_route(kind, attempts_max=2, is_resumable=False):
@@ -34,7 +34,9 @@
     kind, sent=0, has_other=True, repeats_left=5.0, attempts_max=2, limit_s=LIMIT_S
 ):
     route = make_route(kind, attempts_max)
-    return find_head_limit_s(route, sent, has_other, repeats_left, STARTED_S, limit_s)
+    return find_header_deadline_s(
+        route, sent, has_other, repeats_left, STARTED_S, limit_s
+    )
 
 
 def test_lookup_leaves_a_silent_endpoint_in_time_for_another():
@@ -73,7 +75,7 @@
     # An endpoint hangs in the middle of a stream. Its client leaves after two seconds
     # of silence, and the next endpoint needs the rest of that to read the prompt.
     route = make_route("streaming", is_resumable=True)
-    assert find_piece_wait_s(route, 0, has_begun=True) == STREAM_SILENT_S
+    assert find_chunk_timeout_s(route, 0, has_begun=True) == STREAM_STALL_TIMEOUT_S
 
 
 @pytest.mark.parametrize(
@@ -84,4 +86,4 @@
     is_resumable, sent, has_begun
 ):
     route = make_route("streaming", is_resumable=is_resumable)
-    assert find_piece_wait_s(route, sent, has_begun) is None
+    assert find_chunk_timeout_s(route, sent, has_begun) is None
--- a/tests/test_cache_index.py
+++ b/tests/test_cache_index.py
@@ -1,4 +1,4 @@
-from tamarackrill.decisions.cache_index import HOLDING_KEPT_S, CacheEvent, CacheIndex
+from tamarackrill.decisions.cache_index import PREFIX_TTL_S, CacheEvent, CacheIndex
 
 
 def names(index, chat, now_s=10.0):
@@ -43,7 +43,7 @@
     for number, chat in enumerate("abc"):
         index.record_send(chat, "e", 1, float(number))
     assert (len(index), names(index, "a")) == (2, [])
-    assert names(index, "c", HOLDING_KEPT_S + 5.0) == []
+    assert names(index, "c", PREFIX_TTL_S + 5.0) == []
     for engine in "vwxyz":
         index.record_send("d", engine, 1, 1.0)
     assert len(names(index, "d")) == 3
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -88,7 +88,7 @@
     session_affinity=True,
     target_latency_ms=1000 * OBJECTIVE_S,
 )
-TOO_LONG_S = engine_waits.find_tolerated_s(OBJECTIVE_S, urgency=0, is_held=True)
+TOO_LONG_S = engine_waits.compute_wait_limit_s(OBJECTIVE_S, urgency=0, is_cached=True)
 
 
 def test_prompt_goes_past_an_engine_at_which_others_wait_too_long():
@@ -550,7 +550,7 @@
     # All engines but one are gone, and that one stalls a stream for longer than a
     # client of an idle deployment would be left waiting.  There is nobody to go on
     # elsewhere; given up, the client would have half an answer instead of a late one.
-    monkeypatch.setattr(attempt_timeouts, "STREAM_SILENT_S", 0.05)
+    monkeypatch.setattr(attempt_timeouts, "STREAM_STALL_TIMEOUT_S", 0.05)
 
     async def stall(request, writer):
         writer.write(make_stream_head(request) + make_chunk(make_event(1)))
--- a/tests/test_endpoint_news.py
+++ b/tests/test_endpoint_news.py
@@ -13,14 +13,14 @@
     Misplaced,
     hash_teller,
 )
-from tamarackrill.decisions.loads import NEWS_KEPT_S, EndpointLoad, Loads
+from tamarackrill.decisions.loads import NEWS_TTL_S, EndpointLoad, Loads
 from tamarackrill.decisions.placement_news import (
     LOADS_PASSED_MAX,
     TICK_S,
     PlacementNews,
 )
 from tamarackrill.decisions.pools import EndpointPool
-from tamarackrill.decisions.routing import Placement, PlacementRequest
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest
 
 
 def test_only_loads_near_the_bound_are_told_the_fullest_first():
@@ -94,15 +94,15 @@
 
 def test_news_of_a_full_endpoint_is_believed_for_a_while():
     loads = Loads()
-    loads.observe_news([EndpointLoad("e", 9)], 10.0)
+    loads.observe_hot_endpoints([EndpointLoad("e", 9)], 10.0)
     assert loads.estimate(["e", "f"], 10.0) == [9, 0]
-    assert loads.estimate(["e"], 10.1 + NEWS_KEPT_S) == [0]
+    assert loads.estimate(["e"], 10.1 + NEWS_TTL_S) == [0]
 
 
 def test_own_later_report_goes_before_news():
     loads = Loads()
     loads.observe_report("e", 2, 10.0, 10.0)
-    loads.observe_news([EndpointLoad("e", 9)], 10.05)
+    loads.observe_hot_endpoints([EndpointLoad("e", 9)], 10.05)
     assert loads.estimate(["e"], 10.05) == [2]
 
 
@@ -111,7 +111,7 @@
     # others would pass for as full, and the bound would rise with them.
     loads = Loads()
     loads.observe_report("a", 2, 10.0, 10.0)
-    loads.observe_news([EndpointLoad("e", 30)], 10.0)
+    loads.observe_hot_endpoints([EndpointLoad("e", 30)], 10.0)
     assert loads.estimate(["a", "b", "e"], 10.0) == [2, 2, 30]
 
 
@@ -132,7 +132,7 @@
         self.news = {}
         members = [(f"r{n}", f"z{n % 3}") for n in range(routers)]
         for name, zone in members:
-            self.placements[name] = Placement(1.5, slack=2)
+            self.placements[name] = LoadBalancer(1.5, slack=2)
             self.relays[name] = PlacementNews(name, zone)
             self.relays[name].set_members(members)
             self.news[name] = EndpointNews(hash_teller(name), 0)
@@ -176,7 +176,7 @@
     def deliver(self, actions, now_s):
         for action in actions:
             loads = self.placements[action.router].loads
-            loads.observe_news(action.news.entries, now_s)
+            loads.observe_hot_endpoints(action.news.entries, now_s)
             self.deliver(self.relays[action.router].hear(action.news), now_s)
 
 
--- a/tests/test_engine_waits.py
+++ b/tests/test_engine_waits.py
@@ -10,7 +10,7 @@
     PRIORITY_MAX,
     EngineWaits,
     choose_priority,
-    find_tolerated_s,
+    compute_wait_limit_s,
     rank_urgency,
 )
 
@@ -39,7 +39,7 @@
     waits.answer(ENGINE, "r-0", 1.8)
     assert waits.find_wait_s(ENGINE, 1.8) == pytest.approx(0.8)
     assert waits.find_wait_s(ENGINE, 1.8 + HALF_LIFE_S) == pytest.approx(0.4)
-    waits.find_slow(OBJECTIVE_S, 1, (), 1.9 + FORGET_S)
+    waits.find_slow_engines(OBJECTIVE_S, 1, (), 1.9 + FORGET_S)
     assert waits.find_wait_s(ENGINE, 1.8 + FORGET_S) == 0.0
 
 
@@ -53,7 +53,7 @@
 
 def test_engine_that_nobody_was_sent_to_is_not_slow():
     assert EngineWaits().find_wait_s(ENGINE, 1.0) == 0.0
-    assert EngineWaits().find_slow(OBJECTIVE_S, 1, (), 1.0) == {}
+    assert EngineWaits().find_slow_engines(OBJECTIVE_S, 1, (), 1.0) == {}
 
 
 def test_prompt_that_is_held_tolerates_more_than_one_that_must_be_read():
@@ -61,13 +61,13 @@
     # twenty of those whose prompts it holds.
     waits = make_waits([1.0])
     now_s = 1.0 + 0.75 * OBJECTIVE_S
-    assert waits.find_slow(OBJECTIVE_S, 1, (), now_s) == {ENGINE: now_s - 1.0}
-    assert waits.find_slow(OBJECTIVE_S, 1, (ENGINE,), now_s) == {}
+    assert waits.find_slow_engines(OBJECTIVE_S, 1, (), now_s) == {ENGINE: now_s - 1.0}
+    assert waits.find_slow_engines(OBJECTIVE_S, 1, (ENGINE,), now_s) == {}
 
 
 def test_urgent_prompt_is_refused_last():
-    urgent = find_tolerated_s(OBJECTIVE_S, 0, is_held=True)
-    assert urgent > find_tolerated_s(OBJECTIVE_S, 1, is_held=True)
+    urgent = compute_wait_limit_s(OBJECTIVE_S, 0, is_cached=True)
+    assert urgent > compute_wait_limit_s(OBJECTIVE_S, 1, is_cached=True)
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
         self.left = self.tokens = tokens
 
     @property
-    def is_held(self):
+    def is_cached(self):
         return self.tokens == HELD_TOKENS
 
 
@@ -123,14 +123,14 @@
             router = chance.choice(routers)
             tokens = UNREAD_TOKENS if chance.random() < 0.4 else HELD_TOKENS
             prompt = Prompt(f"r-{count}", router, now_s, tokens)
-            holders = (ENGINE,) if prompt.is_held else ()
-            if has_limit and router.find_slow(OBJECTIVE_S, 1, holders, now_s):
+            holders = (ENGINE,) if prompt.is_cached else ()
+            if has_limit and router.find_slow_engines(OBJECTIVE_S, 1, holders, now_s):
                 times.append(None)
                 continue
             router.start(ENGINE, prompt.name, now_s)
             queue.append(prompt)
         if has_limit:
-            queue.sort(key=lambda p: choose_priority(1, p.is_held))
+            queue.sort(key=lambda p: choose_priority(1, p.is_cached))
         running = queue[:SLOTS]
         share = TOKENS_A_STEP / max(1, len(running))
         for prompt in running:
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -5,7 +5,7 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions import health as h
 from tamarackrill.decisions.health import Health
-from tamarackrill.decisions.routing import Placement, PlacementRequest
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest
 
 POOL = [f"engine-{i}" for i in range(5)]
 ENDPOINTS = [Endpoint(name, "engine", ("m",), "", "kranj-hall") for name in POOL]
@@ -16,7 +16,7 @@
 
     `answer` gives the first-token time of an endpoint at a time, None for a failure.
     """
-    placement = Placement(2.0)
+    placement = LoadBalancer(2.0)
     received = []
     for number in range(count):
         now_s = start_s + number / per_s
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -81,7 +81,7 @@
             await fleet.wait(lambda: len(router.view.list_live("desk")) == 2)
             await ask(router, "/chat/a", "id-1", X_Prompt_Prefix=PROMPT)
             (first,) = [worker for worker in fleet.workers if worker.requests]
-            session = next(iter(router.placer.index.list_newest(1, router.clock())))[0]
+            session = next(iter(router.placer.index.list_recent(1, router.clock())))[0]
             anew = first.describe("desk", models=[{"name": "m"}], born=2000)
             await fleet.store.write("servers", first.name, anew)
             await fleet.wait(
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -4,7 +4,7 @@
 from tamarackrill.decisions import poison as p
 from tamarackrill.decisions.health import Health
 from tamarackrill.decisions.poison import CrashCount, Poison
-from tamarackrill.decisions.routing import Placement, PlacementRequest
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest
 from tamarackrill.exceptions import Refusal
 
 POOL = [f"engine-{i}" for i in range(5)]
@@ -18,7 +18,7 @@
 
     def __init__(self, name):
         self.name = name
-        self.poison, self.health, self.placement = Poison(), Health(), Placement(2.0)
+        self.poison, self.health, self.placement = Poison(), Health(), LoadBalancer(2.0)
 
     def send(self, fingerprint, now_s):
         """Return the endpoint, or raise the refusal that the caller receives."""
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -47,16 +47,16 @@
     # them would go through all endpoints again.
     pool = make_engines()
     barred = {NAMES[3], "gone"}
-    narrowed = pool.leave_out(barred)
+    narrowed = pool.exclude(barred)
     assert list(narrowed.by_name) == [name for name in NAMES if name != NAMES[3]]
-    assert pool.leave_out(set(barred)) is narrowed
-    assert pool.leave_out({"gone"}) is pool
+    assert pool.exclude(set(barred)) is narrowed
+    assert pool.exclude({"gone"}) is pool
 
 
 def test_only_so_many_smaller_pools_are_kept():
     pool = make_engines()
-    first = pool.leave_out({NAMES[0]})
+    first = pool.exclude({NAMES[0]})
     for name in NAMES[1:]:
         for other in (NAMES[0], name):
-            pool.leave_out({name, other})
-    assert pool.leave_out({NAMES[0]}) is not first
+            pool.exclude({name, other})
+    assert pool.exclude({NAMES[0]}) is not first
--- a/tests/test_prefix_copies.py
+++ b/tests/test_prefix_copies.py
@@ -1,7 +1,7 @@
 import pytest
 
 from tamarackrill.contracts import Endpoint
-from tamarackrill.decisions.cache_index import HOLDERS_KEPT, CacheIndex
+from tamarackrill.decisions.cache_index import HOLDERS_MAX, CacheIndex
 from tamarackrill.decisions.hashing import rank
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.prefix_copies import (
@@ -149,8 +149,8 @@
     # Every prompt of a kind begins alike, and each engine soon holds that.  Only a few
     # holders are remembered, so each send would pass for news.
     copies = make_copies()
-    for name in NAMES[:HOLDERS_KEPT]:
+    for name in NAMES[:HOLDERS_MAX]:
         copies.record_send(PROMPT, name, JOINED_S)
     other = make_prompt(session="another")
-    found = copies.record_send(other, NAMES[HOLDERS_KEPT], JOINED_S)
+    found = copies.record_send(other, NAMES[HOLDERS_MAX], JOINED_S)
     assert [held.key for held in found] == [other[0].key]
--- a/tests/test_reservations.py
+++ b/tests/test_reservations.py
@@ -1,7 +1,11 @@
 import pytest
 
 from tamarackrill.contracts import Endpoint
-from tamarackrill.decisions.reservations import Grant, Reservations, find_owner
+from tamarackrill.decisions.reservations import (
+    ReservationReply,
+    Reservations,
+    find_owner,
+)
 
 POOL = [
     Endpoint(f"engine-{i}", "engine", ("quote-writer",), "", "casnewydd")
@@ -34,7 +38,7 @@
     # The owner's answer is lost and the home asks again.  Counted twice, a slot stays
     # taken after the request has ended, and callers are sent away from an idle engine.
     owner = make_owner()
-    assert reserve(owner, 1) == reserve(owner, 1) == Grant(True, 1)
+    assert reserve(owner, 1) == reserve(owner, 1) == ReservationReply(True, 1)
     owner.release("request-1", 1.0)
     owner.release("request-1", 1.0)
     assert owner.loads.own("engine-0") == 0
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,7 +9,7 @@
 from tamarackrill.decisions.loads import EndpointLoad, Loads
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.reservations import Reservations, find_owner
-from tamarackrill.decisions.routing import Placement, PlacementRequest, compute_bound
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest, compute_bound
 
 ZONES = ("kranj-hall", "kamnik-hall")
 
@@ -35,7 +35,7 @@
 
 def place_all(pool, chats=300, placement=None, now_s=0.0):
     """Send one request of each chat, each ending before the next."""
-    placement = placement or Placement(2.0)
+    placement = placement or LoadBalancer(2.0)
     places = {}
     for number in range(chats):
         name = send(placement, ask(f"chat-{number}"), pool, now_s)
@@ -56,9 +56,9 @@
 def test_endpoints_that_are_left_out_raise_no_bound(left_out):
     # Guards against a few engines that carry several times the mean because the others
     # are left out for their failures.
-    placement, engines = Placement(1.5), EndpointPool(make_pool(6))
+    placement, engines = LoadBalancer(1.5), EndpointPool(make_pool(6))
     names = list(engines.by_name)
-    well = engines.leave_out(names[:left_out])
+    well = engines.exclude(names[:left_out])
     for name in names:
         for _ in range(4):
             placement.start(name, ask(name), 0.0)
@@ -79,7 +79,7 @@
     # One chat (a shared pattern sheet that all fitters open) is asked for far more
     # often than the rest.  Sent to its own engine each time, it would fill that engine,
     # and the callers of all other chats there would wait behind it.
-    placement, pool = Placement(1.5), make_pool(5)
+    placement, pool = LoadBalancer(1.5), make_pool(5)
     loads = dict.fromkeys((endpoint.name for endpoint in pool), 0)
     for number in range(100):
         loads[send(placement, ask("hot", number), pool)] += 1
@@ -90,7 +90,7 @@
     # A chat that overflowed to a second engine comes back for its next turn.  Sent to
     # its first engine, which has only the older part of the prefix, the caller would
     # wait while the rest is computed.
-    placement, pool = Placement(1.5), make_pool(5)
+    placement, pool = LoadBalancer(1.5), make_pool(5)
     first = placement.choose(ask("c"), pool, 0.0).endpoint.name
     placement.start(first, ask("c")._replace(tokens=100), 0.0)
     for _ in range(5):
@@ -109,7 +109,7 @@
     # An engine drops out for a moment.  Were other chats to move with it, members who
     # never met the failed engine would wait for their whole pattern to be read again.
     # It holds as well at a router that has just replaced another and knows no chat.
-    pool, placement = make_pool(5), Placement(2.0) if is_known else None
+    pool, placement = make_pool(5), LoadBalancer(2.0) if is_known else None
     before = place_all(pool, placement=placement)
     rest = [endpoint for endpoint in pool if endpoint.name != "engine-2"]
     during = place_all(rest, placement=placement, now_s=1.0)
@@ -121,7 +121,7 @@
 def test_chat_whose_prefix_was_evicted_goes_where_hashing_sends_it():
     # The engine that took a chat during an overflow has dropped it since.  The event
     # tells so; without it the chat would go on to an engine that has nothing.
-    placement, pool = Placement(1.5), make_pool(5)
+    placement, pool = LoadBalancer(1.5), make_pool(5)
     first = placement.choose(ask("c"), pool, 0.0).endpoint.name
     other = next(e.name for e in pool if e.name != first)
     placement.start(other, ask("c"), 0.0)
@@ -132,7 +132,7 @@
 
 
 def test_zone_of_the_caller_is_preferred_without_a_chat():
-    placement, pool = Placement(2.0), make_pool(6)
+    placement, pool = LoadBalancer(2.0), make_pool(6)
     for number in range(12):
         request = PlacementRequest(f"lookup-{number}", zone="kamnik-hall")
         choice = placement.choose(request, pool, 0.0)
@@ -142,7 +142,7 @@
 
 
 def test_full_and_leaving_endpoints_get_nothing():
-    placement, pool = Placement(2.0), make_pool(2, slots=1)
+    placement, pool = LoadBalancer(2.0), make_pool(2, slots=1)
     leaving = [pool[0]._replace(state="leaving"), pool[1]]
     assert send(placement, ask("a"), leaving) == "engine-1"
     assert placement.choose(ask("b"), leaving, 0.0) is None
@@ -150,7 +150,7 @@
 
 
 def test_slow_start_takes_part_of_the_bound():
-    placement, pool = Placement(2.0), make_pool(4)
+    placement, pool = LoadBalancer(2.0), make_pool(4)
     taken = {endpoint.name: 0 for endpoint in pool}
     for number in range(80):
         choice = placement.choose(
@@ -170,7 +170,7 @@
     names = [endpoint.name for endpoint in pool]
     taken = dict.fromkeys(names, 0)
     for router in range(7):
-        placement = Placement(1.5)
+        placement = LoadBalancer(1.5)
         for name in names:
             load = 0 if name == "engine-3" else 20
             placement.observe_report(name, load, 0.0, 1.0)
@@ -228,7 +228,9 @@
         self.pool = make_pool(5, slots=12)
         self.now_s = 0.0
         self.number = 0
-        self.placements = {name: Placement(self.load_factor) for name in self.routers}
+        self.placements = {
+            name: LoadBalancer(self.load_factor) for name in self.routers
+        }
         self.owned = {name: Reservations(self.load_factor) for name in self.routers}
         self.running = {}
         self.seen = [dict.fromkeys((e.name for e in self.pool), 0)]
@@ -250,7 +252,7 @@
         self.number += 1
         request = ask(f"chat-{chat}", self.number)
         refused = []
-        while len(refused) < owners.ASKS_MAX:
+        while len(refused) < owners.RESERVATION_ATTEMPTS_MAX:
             choice = self.placements[router].choose(
                 request, self.pool, self.now_s, None, refused
             )
