--- a/src/tamarackrill/decisions/answer_times.py
+++ b/src/tamarackrill/decisions/answer_times.py
@@ -1,21 +1,19 @@
-"""As of when an answer of the store certainly tells what holds.
+"""Time as of which an answer of the store is certainly valid.
 
-Load pattern: the store is slow, the link to it is full, or the loop of the router that
-asked is late.  What the store said when it answered is read long after, and counted
-from its first byte it would be taken for newer than it is, by all routers that are told
-of it.
+Load pattern: the store is slow, the link to it is saturated, or the event loop of the
+calling router is delayed, so an answer is read long after the store produced it.  Dated
+by its first byte it would appear newer than it is, to all routers that receive it.
 
-The store answers a call after it was sent, and a watch that brings nothing after it has
-waited in full.  Only of a watch that brings a change no more is known than that; such
-an answer is taken to have been on its way for as long as the last one of which that is
-known.
+The store answers a plain call after the call was sent, and a watch without a change
+after the full wait.  For a watch that returns a change the time of the answer is not
+known; its latency is assumed to equal the last known one.
 """
 
 from typing import NamedTuple
 
 
 class StoreAnswer(NamedTuple):
-    """When a call was sent and its answer began.
+    """Timing of a call to the store and its answer.
 
     Parameters
     ----------
@@ -24,9 +22,9 @@
     begun_s : float
         When the first byte of the answer was read.
     wait_s : float
-        Longest wait of the store for a change; 0 if it was not to wait.
+        Maximum time the store waits for a change (long polling); 0 for a plain call.
     is_empty : bool
-        Whether it tells of no change.
+        Whether the answer contains no change.
     """
 
     asked_s: float
@@ -35,25 +33,25 @@
     is_empty: bool
 
     @property
-    def has_waited(self) -> bool:
-        """Whether the store has waited in full."""
+    def waited_in_full(self) -> bool:
+        """Whether the store waited for the maximum time."""
         return self.is_empty and self.begun_s >= self.asked_s + self.wait_s
 
 
 class AnswerTimes:
-    """How long answers of the store are on their way."""
+    """Estimates the latency of the store's answers."""
 
     def __init__(self) -> None:
         self._latency_s = 0.0
 
     def observe(self, answer: StoreAnswer) -> None:
-        """Take an answer; what it took is known of one that waited in full or not."""
-        if not answer.wait_s or answer.has_waited:
+        """Update the latency from an answer to a plain call or after a full wait."""
+        if not answer.wait_s or answer.waited_in_full:
             self._latency_s = answer.begun_s - answer.asked_s - answer.wait_s
 
     def find_as_of_s(self, answer: StoreAnswer) -> float:
-        """Return a time at which the store held what an answer tells."""
-        if answer.has_waited:
+        """Return a time at which the content of an answer was valid."""
+        if answer.waited_in_full:
             return answer.asked_s + answer.wait_s
         if not answer.wait_s or answer.is_empty:
             return answer.asked_s
--- a/src/tamarackrill/decisions/cache_index.py
+++ b/src/tamarackrill/decisions/cache_index.py
@@ -1,35 +1,35 @@
-"""Index of which engines hold the cached prefix of which chat.
-
-Load pattern: chats come back after pauses, mostly within minutes, and an engine that
-holds a chat's prefix answers its first token without computing the prefix again.
-Without the index, a chat that overflowed to another engine would go back to the first,
-and one whose prefix was evicted would be sent after it past an idle engine.
-
-What is known comes from own sends, which are exact but do not tell of evictions, and
-from engines' cache events, which come late and with gaps.  So an event is taken as
-correcting a send only when it is the later one of the two, and after a gap what an
-engine was known to hold stays a guess: still the best place to try, but behind an
-engine whose events are whole.
+"""Index of the engines that cache each chat's prefix.
+
+Load pattern: chats return after pauses, mostly within minutes, and an engine that
+caches a chat's prefix produces the first token without computing the prefix again.
+Without the index, a chat that overflowed to another engine would return to the first
+one, and a chat whose prefix was evicted would be sent past an idle engine to the one
+that evicted it.
+
+The index is built from this router's own sends, which are exact but don't show
+evictions, and from engines' cache events, which arrive late and with gaps.  So an event
+overrides a send only if it is the later of the two.  After a gap, an engine's earlier
+entries are uncertain: still worth trying, but ranked behind engines without a gap.
 """
 
 from collections import OrderedDict
 from typing import Literal, NamedTuple
 
-# Chats that one router keeps: 1.9 M chats over 370 routers are 5,100 for each; room
-# for an uneven spread and for the chats of routers that failed.
-CHATS_KEPT = 16_384
-# Engines remembered for one chat: the last one, the one before an overflow, and one
-# more for a flap during the overflow.
+# Chats in the index of one router: 1.9 M chats over 370 routers are 5,100 each, plus
+# headroom for uneven distribution and the chats of failed routers.
+CACHED_CHATS_MAX = 16_384
+# Engines indexed per chat: the latest, the one before an overflow, and one more in case
+# an engine flaps during the overflow.
 HOLDERS_MAX = 3
-# Engines cache in limited memory: after this long without use a prefix is taken to be
-# gone, so that a chat that comes back after hours goes where hashing sends it.
+# Engine caches are limited: a prefix unused for this long is assumed to be evicted, so
+# a chat that returns after hours goes to its first engine in rendezvous order.
 PREFIX_TTL_S = 3600.0
 
 CacheAction = Literal["stored", "evicted", "cleared"]
 
 
-class Holder(NamedTuple):
-    """An engine that holds part of a chat's prefix."""
+class PrefixHolder(NamedTuple):
+    """An engine that caches part of a chat's prefix."""
 
     endpoint: str
     tokens: int
@@ -37,22 +37,22 @@
 
 
 class CacheEvent(NamedTuple):
-    """What an engine published about its cache.
+    """Cache event published by an engine.
 
     Parameters
     ----------
     endpoint : str
         Name of the engine.
     sequence : int
-        Number of the event, one higher than of the engine's event before.
+        Sequence number, one higher than that of the engine's previous event.
     action : {"stored", "evicted", "cleared"}
-        ``"cleared"`` tells that the engine holds nothing, such as after a restart.
+        ``"cleared"`` means that the cache is empty, for example after a restart.
     chat : str
-        The chat whose prefix it is about; empty for ``"cleared"``.
+        Chat of the prefix; empty for ``"cleared"``.
     tokens : int
-        Tokens of the prefix that are now held.
+        Number of tokens of the prefix that are now cached.
     happened_s : float
-        When it happened, on this router's clock.
+        Time of the event, on this router's clock.
     """
 
     endpoint: str
@@ -63,17 +63,17 @@
     happened_s: float
 
 
-class _Holding(NamedTuple):
+class _CachedPrefix(NamedTuple):
     tokens: int
-    known_s: float
+    observed_s: float
 
 
 class CacheIndex:
-    """What one router knows of the engines' caches, for the chats it serves."""
+    """One router's index of engine caches, for the chats that it serves."""
 
-    def __init__(self, chats_kept: int = CHATS_KEPT) -> None:
-        self._chats_kept = chats_kept
-        self._chats: OrderedDict[str, dict[str, _Holding]] = OrderedDict()
+    def __init__(self, chats_max: int = CACHED_CHATS_MAX) -> None:
+        self._chats_max = chats_max
+        self._chats: OrderedDict[str, dict[str, _CachedPrefix]] = OrderedDict()
         self._sequences: dict[str, int] = {}
         self._uncertain_until_s: dict[str, float] = {}
         self._cleared_s: dict[str, float] = {}
@@ -82,15 +82,15 @@
         return len(self._chats)
 
     def record_send(self, chat: str, endpoint: str, tokens: int, now_s: float) -> None:
-        """Remember that `endpoint` computes, and so holds, `tokens` of `chat`."""
-        self._hold(chat, endpoint, _Holding(tokens, now_s))
+        """Record that `endpoint` computes, and then caches, `tokens` of `chat`."""
+        self._store(chat, endpoint, _CachedPrefix(tokens, now_s))
 
     def observe_event(self, event: CacheEvent) -> None:
-        """Take an engine's cache event, which may be late or follow a gap."""
+        """Process an engine's cache event, which may be late or follow a gap."""
         last = self._sequences.get(event.endpoint)
         if last is not None and event.sequence > last + 1:
-            # An eviction may be among the lost events: a caller would notice it as a
-            # slow first token at the engine that was thought to hold the prefix.
+            # An eviction may be among the lost events: the caller would get a slow
+            # first token from an engine that no longer caches the prefix.
             self._uncertain_until_s[event.endpoint] = event.happened_s
         self._sequences[event.endpoint] = max(event.sequence, last or 0)
         if event.action == "cleared":
@@ -98,57 +98,57 @@
         elif event.action == "evicted":
             self._evict(event)
         else:
-            known = self._chats.get(event.chat, {}).get(event.endpoint)
-            if known is None or known.known_s <= event.happened_s:
-                holding = _Holding(event.tokens, event.happened_s)
-                self._hold(event.chat, event.endpoint, holding)
+            current = self._chats.get(event.chat, {}).get(event.endpoint)
+            if current is None or current.observed_s <= event.happened_s:
+                prefix = _CachedPrefix(event.tokens, event.happened_s)
+                self._store(event.chat, event.endpoint, prefix)
 
     def forget_endpoint(self, endpoint: str, now_s: float) -> None:
-        """Take all that `endpoint` was known to hold by `now_s` as gone."""
+        """Invalidate all prefixes recorded for `endpoint` up to `now_s`."""
         self._cleared_s[endpoint] = now_s
 
-    def holders(self, chat: str, now_s: float) -> list[Holder]:
-        """Return the engines that hold `chat`'s prefix, the best place first."""
+    def holders(self, chat: str, now_s: float) -> list[PrefixHolder]:
+        """Return the engines that cache `chat`'s prefix, best first."""
         found = [
-            Holder(endpoint, holding.tokens, self._is_certain(endpoint, holding))
-            for endpoint, holding in self._chats.get(chat, {}).items()
-            if holding.known_s > now_s - PREFIX_TTL_S
-            and holding.known_s > self._cleared_s.get(endpoint, float("-inf"))
+            PrefixHolder(endpoint, prefix.tokens, self._is_certain(endpoint, prefix))
+            for endpoint, prefix in self._chats.get(chat, {}).items()
+            if prefix.observed_s > now_s - PREFIX_TTL_S
+            and prefix.observed_s > self._cleared_s.get(endpoint, float("-inf"))
         ]
-        # The name decides between two that hold as much, as routers that know the same
-        # must choose alike.
+        # Ties are broken by name, since routers with the same information must make
+        # the same choice.
         return sorted(found, key=lambda h: (-h.is_certain, -h.tokens, h.endpoint))
 
-    def list_recent(self, count: int, now_s: float) -> list[tuple[str, Holder]]:
-        """Return up to `count` of the chats last heard of, each with its holders."""
-        found: list[tuple[str, Holder]] = []
+    def list_recent(self, count: int, now_s: float) -> list[tuple[str, PrefixHolder]]:
+        """Return up to `count` pairs of chat and holder, latest updated chats first."""
+        found: list[tuple[str, PrefixHolder]] = []
         for chat in reversed(self._chats):
             found += [(chat, holder) for holder in self.holders(chat, now_s)]
             if len(found) >= count:
                 break
         return found[:count]
 
-    def _is_certain(self, endpoint: str, holding: _Holding) -> bool:
+    def _is_certain(self, endpoint: str, prefix: _CachedPrefix) -> bool:
         gap_s = self._uncertain_until_s.get(endpoint, float("-inf"))
-        return holding.known_s >= gap_s
+        return prefix.observed_s >= gap_s
 
-    def _hold(self, chat: str, endpoint: str, holding: _Holding) -> None:
-        holdings = self._chats.setdefault(chat, {})
+    def _store(self, chat: str, endpoint: str, prefix: _CachedPrefix) -> None:
+        prefixes = self._chats.setdefault(chat, {})
         self._chats.move_to_end(chat)
-        holdings[endpoint] = holding
-        if len(holdings) > HOLDERS_MAX:
-            oldest = min(holdings, key=lambda name: holdings[name].known_s)
-            del holdings[oldest]
-        if len(self._chats) > self._chats_kept:
+        prefixes[endpoint] = prefix
+        if len(prefixes) > HOLDERS_MAX:
+            oldest = min(prefixes, key=lambda name: prefixes[name].observed_s)
+            del prefixes[oldest]
+        if len(self._chats) > self._chats_max:
             self._chats.popitem(last=False)
 
     def _evict(self, event: CacheEvent) -> None:
-        holdings = self._chats.get(event.chat, {})
-        known = holdings.get(event.endpoint)
+        prefixes = self._chats.get(event.chat, {})
+        current = prefixes.get(event.endpoint)
         # The eviction of an earlier copy may arrive after the chat was sent to the
-        # engine again; taking it would send the chat away from its fresh copy.
-        if known is None or known.known_s > event.happened_s:
+        # engine again; applying it would route the chat away from its fresh copy.
+        if current is None or current.observed_s > event.happened_s:
             return
-        del holdings[event.endpoint]
-        if not holdings:
+        del prefixes[event.endpoint]
+        if not prefixes:
             del self._chats[event.chat]
--- a/src/tamarackrill/decisions/engine_waits.py
+++ b/src/tamarackrill/decisions/engine_waits.py
@@ -1,133 +1,137 @@
-"""Whether an engine is too slow now for a prompt, by how long others wait at it.
-
-Load pattern: engines are taken away, a burst comes, or sessions move, and prompts of
-thousands of tokens arrive faster than the engines that are left can read them.  An
-engine takes them all and works on all of them in turn.  Without this each of them, and
-each short one behind them, waits longer than the last, until all reach their deadlines
-and the engine works for clients who have left: an engine that could have served half
-of its requests in time serves none.
-
-A router sees it by its own prompts: how long those wait that have not got their first
-event, and how long the last ones did.  A count of requests doesn't show it, as one
-prompt may be a hundred times another.  So an engine takes a prompt only while others
-wait less there than the prompt tolerates.  What can't go to one engine goes to the next
-in order, and if all are too slow it is refused at once, truthfully, so that those who
-were let in are served in time.
-
-Who is refused first: the least urgent, and the prompts that no engine has read yet.
-One that is held at its engine costs a tenth of the time, and refusing it saves little.
+"""Overload protection: rejects prompts for engines where others wait too long.
+
+Load pattern: engines are removed, a burst arrives, or sessions move, and prompts of
+thousands of tokens arrive faster than the remaining engines can read them.  An engine
+accepts them all and processes them in turn.  Without a limit each prompt, and each
+short one queued behind it, waits longer than the last, until all reach their deadlines
+and the engine works for clients that have disconnected: an engine that could have
+served half of its requests in time serves none.
+
+A router detects this from its own prompts: how long those without a first event have
+been waiting, and how long the latest answered ones waited.  A request count doesn't
+show it, as one prompt may be a hundred times as long as another.  So an engine gets a
+prompt only while the wait there is within the prompt's limit.  A prompt that an engine
+can't take goes to the next in order.  If all engines are too slow, it is rejected
+immediately, so that admitted prompts are served in time.
+
+Less urgent prompts and prompts that are not cached are rejected first.  A cached one
+takes a tenth of the time, so rejecting it saves little.
 """
 
 from collections.abc import Collection
 
-# Others' waits, in multiples of a prompt's own objective, that the most urgent prompt
-# tolerates, and the others, at an engine that holds them.  On a played day on which
-# engines were taken away until one was left of five, worth was 0.36 without a limit,
-# 0.57 with half of these, and 0.61 with these.  With half, prompts went on to engines
-# that had to read them on days on which nothing was overloaded: 634 thousand tokens
-# were read again on one instead of 541.
-TOLERATED_URGENT = 4.0
-TOLERATED = 2.0
-# Part of it for a prompt that the engine has yet to read: as long as its own objective
-# for the most urgent.
-UNREAD_SHARE = 0.25
-# A wait that ended so long ago counts half: an engine works off a backlog in tenths of
-# a second, and one that was slow and gets no prompts has to be tried again.
+# Wait limits at an engine that caches the prompt, in multiples of the prompt's own
+# objective, for the most urgent prompts and for all others.  In a load test that
+# removes engines until one of five is left, the value of the answers was 0.36 without a
+# limit, 0.57 with half these limits, and 0.61 with these.  Half the limits also move
+# prompts to engines that have to read them when nothing is overloaded: in one load test
+# without overload 634 thousand tokens were read again instead of 541.
+WAIT_LIMIT_OBJECTIVES_URGENT = 4.0
+WAIT_LIMIT_OBJECTIVES = 2.0
+# Share of the limit for an uncached prompt, so that the most urgent uncached prompt
+# accepts a wait of one objective.
+UNCACHED_SHARE = 0.25
+# Half-life of the latest completed wait: an engine works off a backlog in tenths of a
+# second, and a slow one that gets no prompts has to be tried again.
 HALF_LIFE_S = 0.3
-# Waits below this are not looked at: by then they count for less than a millisecond.
-FORGET_S = 5.0
+# Completed waits older than this are dropped; they count for less than a millisecond.
+LAST_WAIT_TTL_S = 5.0
 
 PRIORITY_MAX = 9
-_RANK_MAX = 2
-# Priority without a team's: that of most teams.
-_TEAM_USUAL = 1
+_PRIORITY_RANK_MAX = 2
+# Used for requests without a team priority; most teams have this one.
+_TEAM_PRIORITY_DEFAULT = 1
 
 
 def rank_urgency(team_priority: int | None, route_priority: int) -> int:
-    """Return how urgent a request is, 0 the most.
+    """Combine team and route priority into an urgency; 0 is the most urgent.
 
-    The team's priority goes before the route's, which decides between requests of
-    teams that have the same.
+    The team's priority takes precedence over the route's, which decides between
+    requests of teams with equal priority.
 
     Parameters
     ----------
     team_priority : int or None
-        0 is the most urgent; None if there is no team, or it has none.
+        0 is the most urgent; None without a team or a team priority.
     route_priority : int
         0 is the most urgent.
     """
-    team = _TEAM_USUAL if team_priority is None else min(team_priority, _RANK_MAX)
-    return max(0, 2 * (team - 1) + min(route_priority, _RANK_MAX))
+    team = (
+        _TEAM_PRIORITY_DEFAULT
+        if team_priority is None
+        else min(team_priority, _PRIORITY_RANK_MAX)
+    )
+    return max(0, 2 * (team - 1) + min(route_priority, _PRIORITY_RANK_MAX))
 
 
 def choose_priority(urgency: int, is_cached: bool) -> int:
-    """Return the priority among an engine's requests, from 0, the first, to 9.
+    """Return the priority in an engine's queue, from 0 (first) to 9.
 
-    Without it a few long prompts that have to be read hold up all those behind them.
+    Without priorities a few long uncached prompts block all those behind them.
 
     Parameters
     ----------
     urgency : int
         See `rank_urgency`.
     is_cached : bool
-        Whether the engine holds the prompt.  It is then read in a hundredth of the
-        time, so that few wait for it and many would wait behind those that are not.
+        Whether the engine caches the prompt.  It is then read in a hundredth of the
+        time, so it delays few others, while many such would wait behind uncached ones.
     """
     return min(PRIORITY_MAX, urgency + (3 if is_cached else 5))
 
 
 def compute_wait_limit_s(objective_s: float, urgency: int, is_cached: bool) -> float:
-    """Return the longest wait of others that a prompt tolerates.
+    """Return the longest wait at an engine with which a prompt is still sent there.
 
     Parameters
     ----------
     objective_s : float
-        Time in which its first event is on time.
+        The prompt's latency objective for its first event.
     urgency : int
         See `rank_urgency`.
     is_cached : bool
-        Whether the engine holds the prompt.
+        Whether the engine caches the prompt.
     """
-    multiple = TOLERATED if urgency else TOLERATED_URGENT
-    return objective_s * multiple * (1.0 if is_cached else UNREAD_SHARE)
+    multiple = WAIT_LIMIT_OBJECTIVES if urgency else WAIT_LIMIT_OBJECTIVES_URGENT
+    return objective_s * multiple * (1.0 if is_cached else UNCACHED_SHARE)
 
 
 class EngineWaits:
-    """How long this router's prompts wait at engines for their first event."""
+    """Tracks how long this router's prompts wait at engines for their first event."""
 
     def __init__(self) -> None:
-        # Of each engine, when those were sent that wait, oldest first.
+        # Send times of the waiting prompts by engine, oldest first.
         self._sent_s: dict[str, dict[str, float]] = {}
-        self._ended: dict[str, tuple[float, float]] = {}
+        self._last_wait: dict[str, tuple[float, float]] = {}
 
     def start(self, engine: str, request: str, now_s: float) -> None:
-        """Take that a prompt is sent."""
+        """Record that a prompt is sent."""
         self._sent_s.setdefault(engine, {})[request] = now_s
 
     def answer(self, engine: str, request: str, now_s: float) -> None:
-        """Take the first event of a prompt."""
+        """Record the first event of a prompt."""
         sent_s = self._sent_s.get(engine, {}).get(request)
         if sent_s is not None:
-            self._ended[engine] = (now_s, now_s - sent_s)
+            self._last_wait[engine] = (now_s, now_s - sent_s)
             self.finish(engine, request)
 
     def finish(self, engine: str, request: str) -> None:
-        """Take the end of a prompt, which may have got no event."""
+        """Record the end of a prompt, which may have got no event."""
         waiting = self._sent_s.get(engine, {})
         waiting.pop(request, None)
         if not waiting:
             self._sent_s.pop(engine, None)
 
     def remove(self, engine: str) -> None:
-        """Forget an engine; prompts still in flight there tell nothing of it."""
+        """Delete an engine's state; its prompts still in flight are ignored."""
         self._sent_s.pop(engine, None)
-        self._ended.pop(engine, None)
+        self._last_wait.pop(engine, None)
 
     def find_wait_s(self, engine: str, now_s: float) -> float:
-        """Return how long prompts wait at an engine now; 0 if nothing is known."""
+        """Return the current wait at an engine; 0 without data."""
         sent_s = self._sent_s.get(engine)
         longest_s = now_s - next(iter(sent_s.values())) if sent_s else 0.0
-        ended_s, waited_s = self._ended.get(engine, (now_s, 0.0))
+        ended_s, waited_s = self._last_wait.get(engine, (now_s, 0.0))
         return max(longest_s, waited_s * 0.5 ** ((now_s - ended_s) / HALF_LIFE_S))
 
     def find_slow_engines(
@@ -144,19 +148,21 @@
         objective_s, urgency
             See `compute_wait_limit_s`.
         holders : collection of str
-            Engines that hold the prompt.
+            Engines that cache the prompt.
         now_s : float
-            The present time.
+            Current time.
         """
-        self._forget(now_s)
+        self._drop_expired(now_s)
         slow = {}
-        for engine in self._sent_s.keys() | self._ended.keys():
+        for engine in self._sent_s.keys() | self._last_wait.keys():
             wait_s = self.find_wait_s(engine, now_s)
             if wait_s > compute_wait_limit_s(objective_s, urgency, engine in holders):
                 slow[engine] = wait_s
         return slow
 
-    def _forget(self, now_s: float) -> None:
-        old = [e for e, (s, _) in self._ended.items() if s < now_s - FORGET_S]
-        for engine in old:
-            del self._ended[engine]
+    def _drop_expired(self, now_s: float) -> None:
+        expired = [
+            e for e, (s, _) in self._last_wait.items() if s < now_s - LAST_WAIT_TTL_S
+        ]
+        for engine in expired:
+            del self._last_wait[engine]
--- a/src/tamarackrill/decisions/loads.py
+++ b/src/tamarackrill/decisions/loads.py
@@ -1,17 +1,17 @@
-"""Estimate of each endpoint's load from lagging reports and own sends.
+"""Endpoint load estimates from delayed reports and this router's own requests.
 
-Load pattern: many routers each send a sliver of the traffic to the same endpoints,
-and an endpoint's own report of its load arrives late or not at all.  Without an
-estimate of what happened since, all routers send to the endpoint that last reported
-idle, which is then the fullest one until its next report.
+Load pattern: many routers each send a small share of the traffic to the same endpoints,
+and an endpoint's load reports arrive late or not at all.  Without an estimate of what
+happened since the last report, all routers send to the endpoint that last reported
+idle, and overload it until its next report.
 
-The unit of load is one request in flight.  The estimate is the last word on the
-endpoint (its own report, or the count of its owner, whichever is newer), less the part
-of it that was ours at that time, plus what is ours now.
+The unit of load is one request in flight.  The estimate is the latest observation (the
+endpoint's own report or its owner's count, whichever is newer), minus this router's
+requests at that time, plus this router's requests now.
 
-A word that has grown old says nothing about now.  It is replaced by the mean of the
-fresh ones, so that an endpoint that fell silent when idle (or when full) neither draws
-nor loses work for that.
+An expired observation is replaced by the mean of the fresh ones, so that an endpoint
+that stopped reporting while idle (or full) neither attracts nor loses requests for that
+reason.
 """
 
 import math
@@ -19,54 +19,54 @@
 from collections.abc import Collection, Iterable, Sequence
 from typing import NamedTuple
 
-# An endpoint reports about once a second with about a second of lag; three reports in
-# a row must be lost before what it said last is dropped.
-REPORT_KEPT_S = 5.0
-# Older words are dropped; none is on its way for so long.
-WORD_KEPT_S = 2 * REPORT_KEPT_S
-FORGET_EVERY_S = 1.0
-# Entries of one digest.  A router owns 2 endpoints at 370 routers and 780 workers, and
-# 5 while half of 7 routers are being replaced; 24 entries take about 0.4 KB.
+# Endpoints report about once a second, with about a second of delay.  The last report
+# expires only after three reports in a row are lost.
+REPORT_TTL_S = 5.0
+# Older observations are deleted; no message is in transit for this long.
+OBSERVATION_KEPT_S = 2 * REPORT_TTL_S
+CLEANUP_INTERVAL_S = 1.0
+# Entries of one digest.  A router owns 2 endpoints with 370 routers and 780 workers,
+# and 5 while half of 7 routers are being replaced; 24 entries take about 0.4 KB.
 DIGEST_ENTRIES_MAX = 24
-# News of the fullest endpoints is passed on by up to two routers, each of which holds
-# it for a tenth of a second at most.
+# Loads of the most loaded endpoints are relayed by up to two routers, each of which
+# delays them by at most a tenth of a second.
 NEWS_AGE_S = 0.1
-# Requests at an engine end after half a second to a second.  Believed for longer, news
-# keeps sessions off an engine that has long worked off its load: of the requests of 76
-# routers to 45 engines with hot sessions, 1.1 in 100 came to one above twice the mean
-# and 3 with 1 s, 1.6 with 1.5 s, and 9.2 without news (simulated, three seeds, loads
-# told from 0.6 of the bound on).
+# Requests at an engine end after half a second to a second, so a longer TTL keeps
+# sessions off an engine that has already worked off its load.  In a simulation of 76
+# routers, 45 engines and hot sessions, 1.1 in 100 requests reached an engine above
+# twice the mean load plus 3 with 1 s, 1.6 with 1.5 s, and 9.2 without these messages
+# (with loads sent from 0.6 of the bound on).
 NEWS_TTL_S = 1.0
-# Longest time from an owner's count to its arrival here: digests are collected once a
-# tick of the gossip, and ride on all messages until the next one.
+# Maximum age of an owner's count on arrival: digests are built once per gossip tick and
+# piggybacked on all messages until the next tick.
 DIGEST_AGE_MAX_S = 1.0
 
 
 class EndpointLoad(NamedTuple):
-    """One entry of a router's digest: the load of an endpoint that it owns.
+    """Entry of a router's load digest: the load of an endpoint that it owns.
 
     Parameters
     ----------
     endpoint : str
         Name of the endpoint.
     in_flight : int
-        Requests of all routers in flight there, as its owner counts them.
+        Requests of all routers in flight at the endpoint, as counted by its owner.
     """
 
     endpoint: str
     in_flight: int
 
 
-class _Word(NamedTuple):
+class _Observation(NamedTuple):
     others: int
     counted_s: float
-    until_s: float
-    # Whether it tells what an endpoint usually has: news is of the fullest alone.
-    is_usual: bool = True
+    expires_s: float
+    # Whether it counts toward the typical load: gossip reports only the most loaded.
+    is_representative: bool = True
 
 
 class _OwnRequests:
-    """Own requests at one endpoint, with the changes that a late report needs."""
+    """Own requests at one endpoint, with recent changes for correcting late reports."""
 
     __slots__ = ("in_flight", "changes")
 
@@ -77,38 +77,38 @@
     def change(self, by: int, now_s: float) -> None:
         self.in_flight += by
         self.changes.append((now_s, by))
-        while self.changes[0][0] < now_s - REPORT_KEPT_S:
+        while self.changes[0][0] < now_s - REPORT_TTL_S:
             self.changes.popleft()
 
     def is_idle(self, now_s: float) -> bool:
-        """Return whether nothing runs, and no late report can be about what did."""
-        return not self.in_flight and self.changes[-1][0] < now_s - REPORT_KEPT_S
+        """Return whether no request is in flight or may be part of a late report."""
+        return not self.in_flight and self.changes[-1][0] < now_s - REPORT_TTL_S
 
-    def at(self, time_s: float) -> int:
-        """Return the requests in flight at a recent time."""
+    def count_at(self, time_s: float) -> int:
+        """Return the number of requests in flight at a recent time."""
         since = sum(by for changed_s, by in self.changes if changed_s > time_s)
         return self.in_flight - since
 
-    def most_since(self, time_s: float) -> int:
-        """Return the most requests in flight at any moment since a recent time."""
-        most = count = self.in_flight
+    def peak_since(self, time_s: float) -> int:
+        """Return the maximum number of requests in flight since a recent time."""
+        peak = count = self.in_flight
         for changed_s, by in reversed(self.changes):
             if changed_s < time_s:
                 break
             count -= by
-            most = max(most, count)
-        return most
+            peak = max(peak, count)
+        return peak
 
 
 class LoadSummary(NamedTuple):
-    """What is known of the load of some endpoints together.
+    """Aggregate load of a set of endpoints.
 
     Parameters
     ----------
     total : int
         Estimated requests in flight at all of them.
     typical : int
-        Requests of other routers at one of which nothing was heard lately.
+        Requests of other routers assumed at an endpoint without a fresh observation.
     """
 
     total: int
@@ -116,19 +116,19 @@
 
 
 class Loads:
-    """What one router knows of the load of all endpoints."""
+    """Load observations of one router for all endpoints."""
 
     def __init__(self) -> None:
         self._own: dict[str, _OwnRequests] = {}
-        self._words: dict[str, _Word] = {}
-        self._forget_s = -math.inf
+        self._observations: dict[str, _Observation] = {}
+        self._next_cleanup_s = -math.inf
 
     def start(self, endpoint: str, now_s: float) -> None:
         """Count a request that is being sent to `endpoint`."""
         self._own.setdefault(endpoint, _OwnRequests()).change(1, now_s)
 
     def finish(self, endpoint: str, now_s: float) -> None:
-        """Count a request that has ended at `endpoint`, whatever its outcome."""
+        """Count a request that has ended at `endpoint`, regardless of its outcome."""
         self._own[endpoint].change(-1, now_s)
 
     def own(self, endpoint: str) -> int:
@@ -139,59 +139,62 @@
     def observe_report(
         self, endpoint: str, load: int, reported_s: float, now_s: float
     ) -> None:
-        """Take a count of an endpoint's requests, by itself or by its owner.
+        """Process a request count from an endpoint itself or from its owner.
 
         Parameters
         ----------
         endpoint : str
             Name of the endpoint.
         load : int
-            Requests in flight that were counted.
+            Number of requests in flight.
         reported_s : float
-            When they were counted, on this router's clock.
+            Time of the count, on this router's clock.
         now_s : float
-            The present time.
+            Current time.
         """
         requests = self._own.get(endpoint)
-        own_then = requests.at(reported_s) if requests else 0
+        own_then = requests.count_at(reported_s) if requests else 0
         others = max(0, load - own_then)
-        self._take_word(endpoint, _Word(others, reported_s, now_s + REPORT_KEPT_S))
+        self._store(endpoint, _Observation(others, reported_s, now_s + REPORT_TTL_S))
 
     def observe_peer(self, entries: Iterable[EndpointLoad], now_s: float) -> None:
-        """Take the digest of a peer: the counts of the endpoints that it owns."""
+        """Process a peer's digest: the counts of the endpoints that it owns."""
         for entry in entries:
             requests = self._own.get(entry.endpoint)
-            # When it was counted is not known.  Had an own request ended since, it
-            # would pass for another router's until the next digest, and this router
-            # would keep its chats off an idle engine.  The owner, which is asked near
-            # the bound, makes good what is counted too low by this.
-            own_most = requests.most_since(now_s - DIGEST_AGE_MAX_S) if requests else 0
-            others = max(0, entry.in_flight - own_most)
-            word = _Word(others, now_s, now_s + REPORT_KEPT_S)
-            self._take_word(entry.endpoint, word)
+            # The time of the count is unknown.  If an own request ended since, it
+            # would be attributed to other routers until the next digest, and this
+            # router would keep its chats off an idle engine.  Subtracting the peak may
+            # underestimate the load; the owner, which is asked near the bound, corrects
+            # that.
+            own_peak = requests.peak_since(now_s - DIGEST_AGE_MAX_S) if requests else 0
+            others = max(0, entry.in_flight - own_peak)
+            observation = _Observation(others, now_s, now_s + REPORT_TTL_S)
+            self._store(entry.endpoint, observation)
 
     def observe_hot_endpoints(
         self, entries: Iterable[EndpointLoad], now_s: float
     ) -> None:
-        """Take loads of the fullest endpoints, as other routers have heard of them."""
+        """Process gossiped loads of the most loaded endpoints."""
         counted_s = now_s - NEWS_AGE_S
         for entry in entries:
             requests = self._own.get(entry.endpoint)
-            own_then = requests.at(counted_s) if requests else 0
+            own_then = requests.count_at(counted_s) if requests else 0
             others = max(0, entry.in_flight - own_then)
-            word = _Word(others, counted_s, now_s + NEWS_TTL_S, is_usual=False)
-            self._take_word(entry.endpoint, word)
-
-    def _take_word(self, endpoint: str, word: _Word) -> None:
-        known = self._words.get(endpoint)
-        # Reports can arrive out of order: an older one taken last would bring back a
-        # load that has gone, seen as work sent to an endpoint that is full.
-        if known is None or word.counted_s >= known.counted_s:
-            self._words[endpoint] = word
+            observation = _Observation(
+                others, counted_s, now_s + NEWS_TTL_S, is_representative=False
+            )
+            self._store(entry.endpoint, observation)
+
+    def _store(self, endpoint: str, observation: _Observation) -> None:
+        known = self._observations.get(endpoint)
+        # Reports can arrive out of order: accepting an older one would restore an
+        # outdated load, so that requests are sent to a full endpoint.
+        if known is None or observation.counted_s >= known.counted_s:
+            self._observations[endpoint] = observation
 
     def remove(self, endpoint: str) -> None:
-        """Forget what was said of an endpoint that has left."""
-        self._words.pop(endpoint, None)
+        """Delete the observation of an endpoint that has left."""
+        self._observations.pop(endpoint, None)
         if not self.own(endpoint):
             self._own.pop(endpoint, None)
 
@@ -201,50 +204,56 @@
         return [self.estimate_one(name, summary, now_s) for name in endpoints]
 
     def summarize(self, endpoints: Collection[str], now_s: float) -> LoadSummary:
-        """Return what is known of `endpoints` together.
+        """Aggregate the load of `endpoints`.
 
-        It takes as long as there are endpoints that this router has heard of or sent to
-        lately, however many there are.
+        The cost depends on the number of endpoints with recent observations or own
+        requests, not on the size of `endpoints`.
 
         Parameters
         ----------
         endpoints : collection of str
-            Names, each once; whether one is among them is asked often.
+            Distinct names; membership tests should be fast.
         now_s : float
-            The present time.
+            Current time.
         """
-        self._forget(now_s)
+        self._drop_expired(now_s)
         fresh = [
-            word
-            for name, word in self._words.items()
-            if word.until_s >= now_s and name in endpoints
+            observation
+            for name, observation in self._observations.items()
+            if observation.expires_s >= now_s and name in endpoints
+        ]
+        representative = [
+            observation.others for observation in fresh if observation.is_representative
         ]
-        usual = [word.others for word in fresh if word.is_usual]
-        typical = round(sum(usual) / len(usual)) if usual else 0
+        typical = (
+            round(sum(representative) / len(representative)) if representative else 0
+        )
         own = sum(
             requests.in_flight
             for name, requests in self._own.items()
             if requests.in_flight and name in endpoints
         )
-        silent = len(endpoints) - len(fresh)
-        known = sum(word.others for word in fresh)
-        return LoadSummary(own + known + silent * typical, typical)
+        unobserved = len(endpoints) - len(fresh)
+        known = sum(observation.others for observation in fresh)
+        return LoadSummary(own + known + unobserved * typical, typical)
 
     def estimate_one(self, endpoint: str, summary: LoadSummary, now_s: float) -> int:
-        """Return the estimated requests in flight at one of those summarized."""
-        word = self._words.get(endpoint)
-        if word is None or word.until_s < now_s:
+        """Return the estimated requests in flight at one summarized endpoint."""
+        observation = self._observations.get(endpoint)
+        if observation is None or observation.expires_s < now_s:
             return self.own(endpoint) + summary.typical
-        return self.own(endpoint) + word.others
+        return self.own(endpoint) + observation.others
 
-    def _forget(self, now_s: float) -> None:
-        """Drop what is of no more use, now and then.
+    def _drop_expired(self, now_s: float) -> None:
+        """Delete outdated state, at most once per `CLEANUP_INTERVAL_S`.
 
-        A word that is no longer fresh still shows that an older one came late.
+        Expired observations are kept for a while to detect older ones that arrive late.
         """
-        if now_s < self._forget_s:
+        if now_s < self._next_cleanup_s:
             return
-        self._forget_s = now_s + FORGET_EVERY_S
-        oldest_s = now_s - (WORD_KEPT_S - REPORT_KEPT_S)
-        self._words = {n: w for n, w in self._words.items() if w.until_s > oldest_s}
-        self._own = {n: o for n, o in self._own.items() if not o.is_idle(now_s)}
+        self._next_cleanup_s = now_s + CLEANUP_INTERVAL_S
+        oldest_s = now_s - (OBSERVATION_KEPT_S - REPORT_TTL_S)
+        self._observations = {
+            n: obs for n, obs in self._observations.items() if obs.expires_s > oldest_s
+        }
+        self._own = {n: r for n, r in self._own.items() if not r.is_idle(now_s)}
--- a/src/tamarackrill/decisions/pools.py
+++ b/src/tamarackrill/decisions/pools.py
@@ -1,9 +1,9 @@
-"""The endpoints that may take the same requests, with what placements ask of them.
+"""Sets of interchangeable endpoints, with precomputed lookups for load balancing.
 
-Load pattern: hundreds or thousands of endpoints serve one model, and each request has
-to find one of them.  Going through all of them for each request takes milliseconds of a
-router's processor, and delays every answer behind it.  So what can be worked out once
-for each change of the endpoints is kept here.
+Load pattern: hundreds or thousands of endpoints serve one model, and one of them is
+selected for each request.  Iterating over all of them for each request takes
+milliseconds of a router's CPU time and delays every response behind it.  So whatever
+depends only on the set of endpoints is computed once and cached here.
 """
 
 from collections.abc import Collection, Iterable, Sequence
@@ -12,33 +12,34 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions import hashing
 
-# Smaller pools kept by one pool: those of the endpoints that can't be reached now, with
-# and without the few that single requests have to avoid.
-NARROWED_KEPT = 16
-# Endpoints that are looked at in order of preference before all are ranked.
+# Cached subpools of one pool: those without the endpoints that are unreachable now, and
+# those that also lack the few endpoints that single requests have to avoid.
+SUBPOOLS_MAX = 16
+# Endpoints ranked and tried first; all are ranked only if none of these is free.
 SHORTLIST_SIZE = 8
 
 
 class EndpointPool:
-    """Endpoints that serve the same; never changed once made.
+    """Immutable set of endpoints that serve the same requests.
 
     Parameters
     ----------
     endpoints : iterable of Endpoint
-        Each once.
+        Endpoints with distinct names.
     """
 
     def __init__(self, endpoints: Iterable[Endpoint]) -> None:
         self.by_name = {endpoint.name: endpoint for endpoint in endpoints}
-        self._narrowed: dict[frozenset[str], EndpointPool] = {}
+        self._subpools: dict[frozenset[str], EndpointPool] = {}
         self._last_ranked: tuple[str, int, list[str]] = ("", 0, [])
 
     def __len__(self) -> int:
         return len(self.by_name)
 
     def rank(self, key: str, count: int) -> list[str]:
-        """Return the names that `key` prefers, best first; see `hashing`."""
-        # Placement and the search for an engine to copy from ask the same in turn.
+        """Return the first `count` names in rendezvous order of `key`."""
+        # Endpoint selection and the search for a copy source ask for the same ranking
+        # in succession.
         last_key, last_count, ranked = self._last_ranked
         if (last_key, last_count) != (key, count):
             ranked = hashing.order_members(key, self._members, count)
@@ -47,24 +48,24 @@
 
     def select_zone(self, zone: str) -> "EndpointPool":
         """Return the endpoints of one availability zone."""
-        return self._zones.get(zone, _EMPTY)
+        return self._zones.get(zone, _EMPTY_POOL)
 
     def exclude(self, names: Collection[str]) -> "EndpointPool":
         """Return the pool without some endpoints.
 
-        The same ones are left out for many requests, those of a zone that is cut off
-        for seconds, so that the smaller pools are kept.
+        Subpools are cached, since many requests exclude the same endpoints: those of a
+        zone that is cut off, for seconds.
         """
-        barred = frozenset(name for name in names if name in self.by_name)
-        if not barred:
+        excluded = frozenset(name for name in names if name in self.by_name)
+        if not excluded:
             return self
-        narrowed = self._narrowed.get(barred)
-        if narrowed is None:
-            if len(self._narrowed) >= NARROWED_KEPT:
-                self._narrowed.clear()
-            left = [e for name, e in self.by_name.items() if name not in barred]
-            narrowed = self._narrowed[barred] = EndpointPool(left)
-        return narrowed
+        subpool = self._subpools.get(excluded)
+        if subpool is None:
+            if len(self._subpools) >= SUBPOOLS_MAX:
+                self._subpools.clear()
+            remaining = [e for name, e in self.by_name.items() if name not in excluded]
+            subpool = self._subpools[excluded] = EndpointPool(remaining)
+        return subpool
 
     @cached_property
     def _members(self) -> hashing.Members:
@@ -78,11 +79,11 @@
         return {zone: EndpointPool(endpoints) for zone, endpoints in found.items()}
 
 
-_EMPTY = EndpointPool(())
+_EMPTY_POOL = EndpointPool(())
 
 
 def make_pool(endpoints: Sequence[Endpoint] | EndpointPool) -> EndpointPool:
-    """Return the live ones of some endpoints; a pool is returned as it is."""
+    """Return a pool of the live endpoints; a pool is returned unchanged."""
     if isinstance(endpoints, EndpointPool):
         return endpoints
     return EndpointPool(e for e in endpoints if e.state == "live")
--- a/src/tamarackrill/decisions/prompts.py
+++ b/src/tamarackrill/decisions/prompts.py
@@ -1,8 +1,8 @@
-"""The parts of a prompt, and the beginnings under which engines cache them.
+"""Prompt parts and the prefixes under which engines cache them.
 
-An engine keeps the parts of a prompt that it has read, and needn't read a part again if
-it holds all parts that stand before it as well.  So what is worth knowing of an engine
-is which beginnings it holds, not which parts.
+An engine caches the parts of the prompts that it has read, and can reuse a part only if
+it also caches all parts before it.  So routers track which prefixes an engine caches,
+not which parts.
 """
 
 from collections.abc import Sequence
@@ -12,21 +12,21 @@
 
 
 class PromptPart(NamedTuple):
-    """One part of a prompt; prompts that share it name it alike."""
+    """A part of a prompt; its ID is the same in all prompts that share it."""
 
     id: str
     tokens: int
 
 
 class Prefix(NamedTuple):
-    """A beginning of a prompt.
+    """A prefix of a prompt, ending at a part boundary.
 
     Parameters
     ----------
     key : str
-        Sixteen hexadecimal digits, the same in every process.
+        Hash as sixteen hexadecimal digits, the same in every process.
     tokens : int
-        Length of all its parts.
+        Total number of tokens of its parts.
     """
 
     key: str
@@ -34,7 +34,7 @@
 
 
 def list_prefixes(parts: Sequence[PromptPart]) -> tuple[Prefix, ...]:
-    """Return the beginnings of a prompt, the longest first."""
+    """Return the prefixes of a prompt, longest first."""
     prefixes = []
     path, tokens = "", 0
     for part in parts:
--- a/src/tamarackrill/decisions/reservations.py
+++ b/src/tamarackrill/decisions/reservations.py
@@ -1,19 +1,19 @@
-"""Reservations: one router owns each endpoint and counts all that is sent to it.
+"""Reservations: each endpoint has one owner router that counts its requests.
 
-Load pattern: the requests of many routers, each with a view that is some seconds old,
-meet at one engine.  Without an owner each of them finds the engine just below the
-bound and sends, so that the engine ends up above it; docs/design/routing.md has the
-measured excess of estimates, which no digest rate removed.
+Load pattern: many routers, each with load data that is seconds old, send requests to
+one engine at the same time.  Without an owner, each of them finds the engine just below
+the bound and sends, so that the engine exceeds it.  No digest rate prevents this; see
+docs/design/routing.md for the excess with estimates alone.
 
-The home router of a chat chooses an endpoint from its estimate, then asks the owner
-for a reservation; the owner alone decides, by its own count, and answers with that
+The home router of a chat selects an endpoint by its estimate, then requests a
+reservation from the owner.  The owner alone decides, by its own count, and returns that
 count.  A reservation ends when the request does, when its router is known to have
-failed, or when it expires.  An owner that is new has not counted what its predecessor
-granted: until those requests end it sees them in the endpoint's own reports.
+failed, or when it expires.  A new owner has not counted its predecessor's grants: until
+those requests end it sees them in the endpoint's own reports.
 
-When the owner doesn't answer (a cut, a crash), the home sends by its estimate alone:
-serving what it can goes before the bound, and the endpoint's reports show the owner
-what it did not grant.
+When the owner doesn't answer (partition, crash), the home router relies on its estimate
+alone: availability takes precedence over the bound, and the endpoint's reports show the
+owner the requests that it did not grant.
 """
 
 from collections.abc import Iterable, Sequence
@@ -24,32 +24,34 @@
 from tamarackrill.decisions.loads import DIGEST_ENTRIES_MAX, EndpointLoad, Loads
 from tamarackrill.decisions.routing import EndpointChoice, compute_bound
 
-# Owners asked for one request.  Each refusal brings the owner's fresh count, so a
-# second one is rare; the limit keeps a request from going round in an outage.
+# Reservations attempted per request.  Each refusal returns the owner's current count,
+# so a second one is rare; the limit keeps a request from cycling through owners in an
+# outage.
 RESERVATION_ATTEMPTS_MAX = 4
-# Endpoints of a pool that one router owns together: it then knows their mean exactly,
-# where the rounded bound of a small mean hangs on a single request.  At 8.3 requests
-# a second for each engine, 8 engines cost their owner 66 answers of 40 bytes a second,
-# which is 2.7 of the 3 KB/s for control.
-POOL_ONE_OWNER_MAX = 8
-# In a larger pool the owner is asked only from this share of the bound on.  At full
-# size (34 engines of 166 requests) that is one send in nine, and it keeps the bound as
-# well as asking for all (0.0014 of sends over it); 0.95 does not (0.0044).
-ASK_FROM_SHARE = 0.9
-# How long the home waits for the owner: two round trips between availability zones
-# (1.5 ms one way), and the pause of a garbage collection.
+# Largest pool that a single router owns as a whole.  It then knows the exact mean; with
+# a small mean one request can change the rounded bound.  At 8.3 requests/s per engine,
+# 8 engines cost their owner 66 replies/s of 40 bytes, which is 2.7 of the 3 KB/s
+# available for control traffic.
+SINGLE_OWNER_POOL_MAX = 8
+# In a larger pool a reservation is needed only from this share of the bound on.  At
+# full size (34 engines of 166 requests) that is one request in nine, and the bound is
+# kept as well as with reservations for all (0.0014 of requests exceed it, with 0.95 it
+# would be 0.0044).
+RESERVE_FROM_SHARE = 0.9
+# How long the home router waits for the owner: two round trips between availability
+# zones (1.5 ms one way) plus a garbage collection pause.
 RESERVATION_TIMEOUT_S = 0.05
 
 
 class ReservationReply(NamedTuple):
-    """An owner's answer.
+    """An owner's reply to a reservation request.
 
     Parameters
     ----------
     is_granted : bool
         Whether the request may be sent.
     in_flight : int
-        The owner's count for the endpoint, with the request if it was granted.
+        The owner's count for the endpoint, including the request if granted.
     """
 
     is_granted: bool
@@ -70,37 +72,37 @@
     endpoint : Endpoint
         The endpoint.
     pool_size : int
-        Number of endpoints that serve the same.
+        Number of endpoints in its pool.
     routers : sequence of str
-        Live routers, best those of the endpoint's availability zone, so that a zone
-        that is cut off still owns its own endpoints.
+        Live routers, preferably those of the endpoint's availability zone, so that a
+        zone that is cut off still owns its own endpoints.
     """
-    is_small = pool_size <= POOL_ONE_OWNER_MAX
-    key = ",".join(sorted(endpoint.serves)) if is_small else endpoint.name
+    has_single_owner = pool_size <= SINGLE_OWNER_POOL_MAX
+    key = ",".join(sorted(endpoint.serves)) if has_single_owner else endpoint.name
     return hashing.rendezvous_order(f"owner/{key}", routers, 1)[0]
 
 
 def must_reserve(choice: EndpointChoice, pool_size: int) -> bool:
-    """Return whether the owner has to be asked before a request is sent.
+    """Return whether a request needs a reservation before it is sent.
 
     Parameters
     ----------
-    choice : Choice
-        What the home has chosen by its estimate.
+    choice : EndpointChoice
+        Endpoint that the home router selected by its estimate.
     pool_size : int
-        Number of endpoints that serve the same.
+        Number of endpoints in its pool.
     """
-    is_small = pool_size <= POOL_ONE_OWNER_MAX
-    return is_small or choice.load >= ASK_FROM_SHARE * choice.bound
+    has_single_owner = pool_size <= SINGLE_OWNER_POOL_MAX
+    return has_single_owner or choice.load >= RESERVE_FROM_SHARE * choice.bound
 
 
 class Reservations:
-    """State of one router as the owner of endpoints."""
+    """Reservations granted by one router for the endpoints that it owns."""
 
     def __init__(self, load_factor: float) -> None:
         self.load_factor = load_factor
         self.loads = Loads()
-        self._held: dict[str, _Reservation] = {}
+        self._active: dict[str, _Reservation] = {}
 
     def reserve(
         self,
@@ -112,22 +114,22 @@
         now_s: float,
         is_last: bool = False,
     ) -> ReservationReply:
-        """Decide on a request to one of this router's endpoints.
+        """Grant or refuse a request to one of this router's endpoints.
 
         Parameters
         ----------
         request : str
-            Identifies the attempt; asking again for the same one counts once.
+            Attempt ID; repeated calls for the same ID count once.
         endpoint : Endpoint
-            The endpoint that the home chose.
+            The endpoint that the home router selected.
         pool : sequence of Endpoint
-            All that may take the request; the bound is a multiple of their mean.
+            All eligible endpoints; the bound is a multiple of their mean load.
         router : str
-            The home router that asks.
+            The requesting home router.
         expires_s : float
-            When the reservation lapses if nobody ends it: the request's deadline.
+            When the reservation expires unless released: the request's deadline.
         now_s : float
-            The present time.
+            Current time.
         is_last : bool, default=False
             Whether this is attempt `RESERVATION_ATTEMPTS_MAX`, at the least loaded
             endpoint known.  In a burst all owners know an old, lower mean and refuse;
@@ -136,47 +138,47 @@
 
         Returns
         -------
-        Grant
+        ReservationReply
         """
         names = [other.name for other in pool if other.state == "live"]
         estimates = dict(zip(names, self.loads.estimate(names, now_s), strict=True))
         if endpoint.name not in estimates:
             return ReservationReply(False, self.loads.own(endpoint.name))
         load = estimates[endpoint.name]
-        # The answer to the first ask may have been lost; counting the request twice
-        # would keep a slot of the endpoint empty until the reservation lapses.
-        if request in self._held:
+        # The reply to the first call may have been lost; counting the request twice
+        # would leave a slot of the endpoint unused until the reservation expires.
+        if request in self._active:
             return ReservationReply(True, load)
         total = sum(estimates.values()) + 1
         bound = compute_bound(self.load_factor, total, len(names))
         if load >= (endpoint.slots if is_last else min(bound, endpoint.slots)):
             return ReservationReply(False, load)
-        self._held[request] = _Reservation(endpoint.name, router, expires_s)
+        self._active[request] = _Reservation(endpoint.name, router, expires_s)
         self.loads.start(endpoint.name, now_s)
         return ReservationReply(True, load + 1)
 
     def release(self, request: str, now_s: float) -> None:
-        """End a reservation; one that has ended already is passed over."""
-        reservation = self._held.pop(request, None)
+        """End a reservation; does nothing if it has already ended."""
+        reservation = self._active.pop(request, None)
         if reservation is not None:
             self.loads.finish(reservation.endpoint, now_s)
 
     def release_router(self, router: str, now_s: float) -> None:
-        """End the reservations of a router that has failed."""
-        for request, held in list(self._held.items()):
-            if held.router == router:
+        """End all reservations of a failed router."""
+        for request, reservation in list(self._active.items()):
+            if reservation.router == router:
                 self.release(request, now_s)
 
     def expire(self, now_s: float) -> None:
-        """End the reservations past their time; call about once a second."""
-        for request, held in list(self._held.items()):
-            if held.expires_s <= now_s:
+        """End expired reservations; call about once a second."""
+        for request, reservation in list(self._active.items()):
+            if reservation.expires_s <= now_s:
                 self.release(request, now_s)
 
     def digest(
         self, owned: Iterable[str], now_s: float, limit: int = DIGEST_ENTRIES_MAX
     ) -> list[EndpointLoad]:
-        """Return the entries for this router's next digest, the largest first."""
+        """Return the entries of this router's next load digest, highest load first."""
         names = list(owned)
         entries = map(EndpointLoad, names, self.loads.estimate(names, now_s))
         return sorted(entries, key=lambda entry: -entry.in_flight)[:limit]
--- a/src/tamarackrill/decisions/routing.py
+++ b/src/tamarackrill/decisions/routing.py
@@ -1,20 +1,19 @@
-"""Choice of the endpoint for a request: cache reuse first, under a bound on load.
-
-Load pattern: chats return to the engine that holds their prefix, and a few teams or
-chats are far hotter than the rest.  Without reuse each return computes its prefix
-again; without the bound the engine of a hot chat or team fills up, and the callers of
-all the chats that share it wait.
-
-The bound: an endpoint takes a request only while its load, counting that request, is at
-most ``load_factor`` times the mean of the endpoints that may take it.  The unit of load
-is one request in flight.  The product is rounded up, so that the bound is never below
-one: with a mean below 1 it means that no endpoint gets a second request while the
-product is at most 1, and that some endpoint is always free.  An endpoint's slots bound
-it as well.
-
-A chat is tried at the engine that rendezvous hashing gives it if that engine holds
-enough of its prefix, then at the engines that hold it, then along its rendezvous order.
-So the loss of an engine moves only that engine's chats, and they come back.
+"""Load balancing: prefix cache affinity first, limited by a bound on endpoint load.
+
+Load pattern: chats return to the engine that caches their prefix, and a few teams or
+chats are far hotter than the rest.  Without affinity each follow-up request computes
+its prefix again.  Without the bound the engine of a hot chat or team is overloaded, and
+the callers of all other chats on it wait.
+
+The bound: an endpoint takes a request only while its load, including that request, is
+at most ``load_factor`` times the mean load of the eligible endpoints.  The unit of load
+is one request in flight.  The product is rounded up, so the bound is at least 1 and
+some endpoint is always free; while the product is at most 1, no endpoint gets a second
+request.  An endpoint's slots limit it as well.
+
+A chat is tried at its first engine in rendezvous order if that caches enough of its
+prefix, then at the other engines that cache it, then along the rendezvous order.  So
+the loss of an engine moves only that engine's chats, and they come back with it.
 """
 
 import math
@@ -27,24 +26,25 @@
 from tamarackrill.decisions.pools import SHORTLIST_SIZE, EndpointPool, make_pool
 
 LOAD_FACTOR_DEFAULT = 1.5
-# A chat goes back to its first engine when that holds this share of the longest known
-# prefix: the rest is computed in one short step, and the load returns with the chats.
-RETURN_SHARE = 0.5
+# A chat returns to its first engine in rendezvous order when that caches this share of
+# the longest known prefix: the rest is computed in one short step, and the load moves
+# back with the chats.
+HOME_PREFIX_SHARE_MIN = 0.5
 
 
 class PlacementRequest(NamedTuple):
-    """What a placement depends on.
+    """The properties of a request that endpoint selection depends on.
 
     Parameters
     ----------
     key : str
-        Identifies the request; spreads requests without a chat.
+        Request ID; the hash key of requests without a chat.
     chat : str
-        Name of the chat, with its team; empty if the request belongs to none.
+        Chat name, including its team; empty if the request has no chat.
     zone : str
         Availability zone of the caller.
     tokens : int
-        Tokens of the prompt, or an estimate.
+        Prompt length, possibly an estimate.
     """
 
     key: str
@@ -54,18 +54,18 @@
 
 
 class EndpointChoice(NamedTuple):
-    """An endpoint for a request, and why.
+    """The endpoint selected for a request, and the reason.
 
     Parameters
     ----------
     endpoint : Endpoint
-        Where the request goes.
+        The selected endpoint.
     reason : str
         ``"cached"``, ``"hashed"``, ``"overflow"`` or ``"least_of_two"``.
     runners_up : tuple of str
-        The endpoints that came next, for the log.
+        The next candidates in order, for the log.
     load, bound : int
-        Estimated requests in flight there, and the most there may be.
+        Estimated requests in flight at the endpoint, and their upper bound.
     """
 
     endpoint: Endpoint
@@ -76,43 +76,43 @@
 
 
 def compute_bound(load_factor: float, total: int, count: int, slack: int = 0) -> int:
-    """Return the most requests that one of `count` endpoints may have in flight.
+    """Return the maximum number of requests in flight at one of `count` endpoints.
 
     Parameters
     ----------
     load_factor : float
-        Multiple of the mean, at least 1.
+        Multiple of the mean load, at least 1.
     total : int
-        Requests in flight at all of them, counting the one to be placed.
+        Requests in flight at all of them, including the one being routed.
     count : int
         Number of endpoints.
     slack : int, default=0
-        Requests beyond the multiple.
+        Requests allowed beyond the multiple.
 
     Returns
     -------
     int
-        At least 1, and such that an endpoint below it always exists.
+        At least 1, and large enough that some endpoint is always below it.
     """
     return max(1, math.ceil(load_factor * total / count) + slack)
 
 
 class LoadBalancer:
-    """State of the placement of one router.
+    """Selects endpoints for the requests of one router.
 
     Parameters
     ----------
     load_factor : float
-        The multiple of the mean load that no endpoint exceeds; see
+        Maximum load of an endpoint, as a multiple of the mean load; see
         docs/design/routing.md for the setting of each deployment.
     loads : Loads, optional
         Load estimates.
     cache : CacheIndex, optional
-        Known prefixes.
+        Index of cached prefixes.
     slack : int, default=0
-        Requests beyond the multiple that an endpoint may have.  At a mean of two
-        requests, a burst of one session would otherwise be sent on to endpoints that
-        have to read its prompt first, though nothing waits where it is cached.
+        Requests that an endpoint may have beyond the multiple.  Without it, at a mean
+        of two requests, a burst of one session overflows to endpoints that have to read
+        its prompt first, although nothing waits where it is cached.
     """
 
     def __init__(
@@ -137,46 +137,47 @@
         slots_multiple: int = 1,
         bounded_by: EndpointPool | None = None,
     ) -> EndpointChoice | None:
-        """Return where `request` goes, or None if all endpoints are full.
+        """Select the endpoint for `request`, or return None if all are full.
 
         Parameters
         ----------
         request : PlacementRequest
             The request.
         endpoints : sequence of Endpoint, or EndpointPool
-            Those that serve it and are healthy; leaving ones are passed over.
+            Healthy endpoints that serve the request; leaving ones are skipped.
         now_s : float
-            The present time.
+            Current time.
         shares : mapping of str to float, optional
-            Share of the bound for each endpoint in slow start; 1 for all others.
+            Fraction of the bound that applies to each endpoint in slow start; 1 for
+            all others.
         refused : collection of str, optional
             Endpoints whose owner has refused this request.
         slots_multiple : int, default=1
             Requests in flight at which an endpoint is full, in multiples of its slots.
         bounded_by : EndpointPool, optional
-            Those whose mean load bounds the load of each; `endpoints` by default.  The
-            ones that are left out by choice belong to it: the others are not to carry
-            all that was theirs.
+            Endpoints whose mean load defines the bound; `endpoints` by default.  It
+            includes endpoints that are excluded deliberately, so that the remaining
+            ones don't take over their whole load.
 
         Returns
         -------
-        Choice or None
-            Nothing is counted until `start`.
+        EndpointChoice or None
+            The request is not counted until `start` is called.
         """
         pool = make_pool(endpoints)
         if not len(pool):
             return None
-        look = self._look(
+        snapshot = self._snapshot_loads(
             pool, bounded_by or pool, now_s, shares or {}, refused, slots_multiple
         )
         if request.chat:
-            choice = self._choose_for_chat(request, pool, look, now_s)
+            choice = self._choose_for_chat(request, pool, snapshot, now_s)
         else:
-            choice = _choose_of_two(request, pool, look)
+            choice = _choose_less_loaded_of_two(request, pool, snapshot)
         if choice is None:
             return None
-        load = look.find_load(choice.endpoint.name)
-        return choice._replace(load=load, bound=look.bound)
+        load = snapshot.find_load(choice.endpoint.name)
+        return choice._replace(load=load, bound=snapshot.bound)
 
     def start(self, endpoint: str, request: PlacementRequest, now_s: float) -> None:
         """Count a request that is being sent to `endpoint`."""
@@ -191,18 +192,18 @@
     def observe_report(
         self, endpoint: str, load: int, reported_s: float, now_s: float
     ) -> None:
-        """Take an endpoint's report of its load; see `Loads.observe_report`."""
+        """Process an endpoint's load report; see `Loads.observe_report`."""
         self.loads.observe_report(endpoint, load, reported_s, now_s)
 
     def observe_peer(self, entries: Iterable[EndpointLoad], now_s: float) -> None:
-        """Take a peer's digest; see `Loads.observe_peer`."""
+        """Process a peer's load digest; see `Loads.observe_peer`."""
         self.loads.observe_peer(entries, now_s)
 
     def observe_event(self, event: CacheEvent) -> None:
-        """Take an engine's cache event."""
+        """Process a cache event of an engine."""
         self.cache.observe_event(event)
 
-    def _look(
+    def _snapshot_loads(
         self,
         pool: EndpointPool,
         bounded_by: EndpointPool,
@@ -210,7 +211,7 @@
         shares: Mapping[str, float],
         refused: Collection[str],
         slots_multiple: int,
-    ) -> "_Look":
+    ) -> "_LoadSnapshot":
         summary = self.loads.summarize(pool.by_name, now_s)
         total = summary.total
         if bounded_by is not pool:
@@ -228,50 +229,57 @@
             slots = pool.by_name[name].slots * slots_multiple
             return find_load(name) < min(limit, slots)
 
-        return _Look(bound, find_load, is_free)
+        return _LoadSnapshot(bound, find_load, is_free)
 
     def _choose_for_chat(
-        self, request: PlacementRequest, pool: EndpointPool, look: "_Look", now_s: float
+        self,
+        request: PlacementRequest,
+        pool: EndpointPool,
+        snapshot: "_LoadSnapshot",
+        now_s: float,
     ) -> EndpointChoice | None:
         order = pool.rank(request.chat, SHORTLIST_SIZE)
         holders = self._rank_holders(request.chat, order[0], now_s)
         holders = [name for name in holders if name in pool.by_name]
-        walk = [*holders, *(name for name in order if name not in holders)]
-        open_ones = [name for name in walk if look.is_free(name)]
-        if not open_ones:
-            everyone = pool.rank(request.chat, len(pool))
-            open_ones = [name for name in everyone if look.is_free(name)]
-        if not open_ones:
+        candidates = [*holders, *(name for name in order if name not in holders)]
+        available = [name for name in candidates if snapshot.is_free(name)]
+        if not available:
+            full_order = pool.rank(request.chat, len(pool))
+            available = [name for name in full_order if snapshot.is_free(name)]
+        if not available:
             return None
-        chosen = open_ones[0]
+        chosen = available[0]
         if chosen in holders:
             reason = "cached"
         else:
             reason = "hashed" if chosen == order[0] else "overflow"
-        return EndpointChoice(pool.by_name[chosen], reason, tuple(open_ones[1:3]))
+        return EndpointChoice(pool.by_name[chosen], reason, tuple(available[1:3]))
 
     def _rank_holders(self, chat: str, first: str, now_s: float) -> list[str]:
         holders = self.cache.holders(chat, now_s)
         longest = max((holder.tokens for holder in holders), default=0)
         names = [holder.endpoint for holder in holders]
         for holder in holders:
-            if holder.endpoint == first and holder.tokens >= RETURN_SHARE * longest:
+            if (
+                holder.endpoint == first
+                and holder.tokens >= HOME_PREFIX_SHARE_MIN * longest
+            ):
                 names.remove(first)
                 names.insert(0, first)
         return names
 
 
-class _Look(NamedTuple):
-    """Loads as they are now.
+class _LoadSnapshot(NamedTuple):
+    """Load estimates and the bound at one point in time.
 
     Parameters
     ----------
     bound : int
-        Most requests in flight at an endpoint.
+        Maximum number of requests in flight at an endpoint.
     find_load : callable
-        Returns the estimated requests in flight at an endpoint.
+        Returns the estimated number of requests in flight at an endpoint.
     is_free : callable
-        Returns whether an endpoint may take one more.
+        Returns whether an endpoint may take one more request.
     """
 
     bound: int
@@ -279,23 +287,23 @@
     is_free: Callable[[str], bool]
 
 
-def _choose_of_two(
-    request: PlacementRequest, pool: EndpointPool, look: _Look
+def _choose_less_loaded_of_two(
+    request: PlacementRequest, pool: EndpointPool, snapshot: _LoadSnapshot
 ) -> EndpointChoice | None:
-    """Return the emptier of two, in the caller's zone if one there is free.
+    """Return the less loaded of two endpoints, in the caller's zone if one is free.
 
-    The two are drawn by the request's own key, so that routers that know the same
-    loads do not all take the same endpoint.
+    The two are sampled by hashing the request's key, so that routers with the same
+    load estimates don't all select the same endpoint.
     """
-    for among in (pool.select_zone(request.zone), pool):
-        for count in (SHORTLIST_SIZE, len(among)):
-            ranked = among.rank(request.key, count)
-            drawn = [name for name in ranked if look.is_free(name)][:2]
-            if len(drawn) == 2:
+    for scope in (pool.select_zone(request.zone), pool):
+        for count in (SHORTLIST_SIZE, len(scope)):
+            ranked = scope.rank(request.key, count)
+            sampled = [name for name in ranked if snapshot.is_free(name)][:2]
+            if len(sampled) == 2:
                 break
-        if drawn:
-            drawn.sort(key=look.find_load)
+        if sampled:
+            sampled.sort(key=snapshot.find_load)
             return EndpointChoice(
-                pool.by_name[drawn[0]], "least_of_two", tuple(drawn[1:])
+                pool.by_name[sampled[0]], "least_of_two", tuple(sampled[1:])
             )
     return None
--- a/src/tamarackrill/router/owners.py
+++ b/src/tamarackrill/router/owners.py
@@ -105,7 +105,7 @@
 
         Returns
         -------
-        grant : Grant or None
+        grant : ReservationReply or None
             None if the owner did not answer in time.
         ticket : Ticket
             For `release`.
--- a/tests/test_attempt_timeouts.py
+++ b/tests/test_attempt_timeouts.py
@@ -1,8 +1,8 @@
 import pytest
 
 from tamarackrill.decisions.attempt_timeouts import (
+    ATTEMPT_TIMEOUT_OBJECTIVES,
     RESPONSE_TRANSIT_S,
-    SILENT_OBJECTIVES,
     STREAM_STALL_TIMEOUT_S,
     find_chunk_timeout_s,
     find_header_deadline_s,
@@ -39,41 +39,44 @@
     )
 
 
-def test_lookup_leaves_a_silent_endpoint_in_time_for_another():
-    # An endpoint reads a lookup and hangs. Were the router to wait for it until the
-    # deadline, the client would get nothing, though other endpoints are well.
-    assert find_limit("idempotent") == STARTED_S + SILENT_OBJECTIVES * OBJECTIVE_S
+def test_idempotent_request_is_retried_when_an_endpoint_stops_answering():
+    # An endpoint reads a request and hangs.  If the router waited until the deadline,
+    # the client would get nothing although other endpoints are healthy.
+    assert (
+        find_limit("idempotent") == STARTED_S + ATTEMPT_TIMEOUT_OBJECTIVES * OBJECTIVE_S
+    )
 
 
 @pytest.mark.parametrize("kind", ["non_idempotent", "streaming"])
-def test_request_that_may_have_run_is_waited_for(kind):
-    # A confirmation may run once only, so nothing is won by giving it up; its answer
-    # may be late and still comes.
+def test_request_that_may_have_run_waits_until_its_limit(kind):
+    # A confirmation must run at most once, so giving up gains nothing, and a late
+    # answer is still useful.
     assert find_limit(kind) == LAST_S
 
 
-def test_lookup_without_another_attempt_is_waited_for():
+def test_request_without_attempts_left_waits_until_its_limit():
     assert find_limit("idempotent", sent=1) == LAST_S
 
 
-def test_lookup_without_another_endpoint_is_waited_for():
-    # All others are gone or can't be reached.  One given up for them gets no answer.
+def test_request_without_another_endpoint_waits_until_its_limit():
+    # All other endpoints are gone or unreachable, so giving up would mean no answer.
     assert find_limit("idempotent", has_other=False) == LAST_S
 
 
-def test_lookups_are_waited_for_when_the_budget_is_spent():
-    # All endpoints of a service are slow. Each lookup that gave up early would be sent
-    # once more, and make them slower.
+def test_request_waits_until_its_limit_when_the_retry_budget_is_spent():
+    # All endpoints of a service are slow.  Each request that gave up early would be
+    # sent again and make them slower.
     assert find_limit("idempotent", repeats_left=0.9) == LAST_S
 
 
-def test_deadline_goes_before_silence():
+def test_client_deadline_limits_the_attempt_timeout():
     assert find_limit("idempotent", limit_s=10.1) == pytest.approx(10.18)
 
 
-def test_resumable_stream_leaves_an_endpoint_that_has_stalled():
-    # An endpoint hangs in the middle of a stream. Its client leaves after two seconds
-    # of silence, and the next endpoint needs the rest of that to read the prompt.
+def test_resumable_stream_times_out_at_a_stalled_endpoint():
+    # An endpoint hangs in the middle of a stream.  The client disconnects after two
+    # seconds without data, and the next endpoint needs part of that time to read the
+    # prompt.
     route = make_route("streaming", is_resumable=True)
     assert find_chunk_timeout_s(route, 0, has_begun=True) == STREAM_STALL_TIMEOUT_S
 
@@ -82,7 +85,7 @@
     ("is_resumable", "sent", "has_begun"),
     [(False, 0, True), (True, 1, True), (True, 0, False)],
 )
-def test_stream_that_cannot_go_on_elsewhere_is_waited_for(
+def test_stream_that_cannot_be_resumed_has_no_chunk_timeout(
     is_resumable, sent, has_begun
 ):
     route = make_route("streaming", is_resumable=is_resumable)
--- a/tests/test_cache_index.py
+++ b/tests/test_cache_index.py
@@ -5,9 +5,9 @@
     return [holder.endpoint for holder in index.holders(chat, now_s)]
 
 
-def test_late_eviction_does_not_undo_a_newer_send():
-    # An eviction is published seconds late, after the chat came back and was computed
-    # again.  Taken as news it would send the chat's next turn to an empty engine.
+def test_late_eviction_does_not_override_a_newer_send():
+    # An eviction event arrives seconds late, after the chat was computed again.  If it
+    # were applied, the chat's next turn would go to an engine without its prefix.
     index = CacheIndex()
     index.record_send("c", "e", 100, now_s=5.0)
     index.observe_event(CacheEvent("e", 1, "evicted", "c", 0, happened_s=4.0))
@@ -15,9 +15,9 @@
     assert index.holders("c", 10.0)[0].tokens == 100
 
 
-def test_engine_with_a_gap_in_its_events_comes_second():
-    # Events of one engine were lost, an eviction perhaps among them.  A caller sent
-    # there may find nothing, while another engine surely has a prefix.
+def test_engine_with_a_gap_in_its_events_is_ranked_second():
+    # Events of one engine were lost, possibly an eviction among them.  A request sent
+    # there may find no prefix, while another engine certainly caches one.
     index = CacheIndex()
     index.record_send("c", "gappy", 900, now_s=1.0)
     index.record_send("c", "whole", 500, now_s=1.0)
@@ -30,7 +30,7 @@
     assert names(index, "c") == ["gappy", "whole"]
 
 
-def test_restarted_engine_holds_nothing_but_what_it_got_since():
+def test_restart_clears_only_earlier_prefixes_of_an_engine():
     index = CacheIndex()
     index.record_send("old", "e", 100, now_s=1.0)
     index.record_send("new", "e", 100, now_s=3.0)
@@ -38,8 +38,8 @@
     assert (names(index, "old"), names(index, "new")) == ([], ["e"])
 
 
-def test_index_is_bounded_and_forgets_what_was_not_used():
-    index = CacheIndex(chats_kept=2)
+def test_index_size_is_bounded_and_unused_entries_expire():
+    index = CacheIndex(chats_max=2)
     for number, chat in enumerate("abc"):
         index.record_send(chat, "e", 1, float(number))
     assert (len(index), names(index, "a")) == (2, [])
--- a/tests/test_prefix_copies.py
+++ b/tests/test_prefix_copies.py
@@ -5,8 +5,8 @@
 from tamarackrill.decisions.hashing import rank
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.prefix_copies import (
-    FIRST_HEARD_S,
-    NEWCOMER_S,
+    NEW_ENDPOINT_S,
+    STARTUP_WINDOW_S,
     PrefixCopies,
 )
 from tamarackrill.decisions.prompts import PromptPart, list_prefixes
@@ -51,16 +51,17 @@
     return next(p for p in prompts if find_home(p, names) == names[-1])
 
 
-def test_full_engine_s_session_is_copied_to_where_it_overflows():
-    # A burst of one session fills its engine, and the next prompts go to another one,
-    # which would read thousands of tokens again while everybody beside them waits.
+def test_overflowing_session_is_copied_from_its_full_engine():
+    # A burst of one session fills its engine, and the next prompts go to another one.
+    # Without a copy it would read thousands of tokens again and delay its other
+    # requests.
     home, second, *_ = rank_engines()
     assert find(make_copies(), second) == home
 
 
-def test_engine_that_has_just_joined_copies_from_where_its_sessions_were():
-    # An engine is added and rendezvous hashing gives it its part of the sessions. This
-    # router has sent none of them anywhere; other routers have.
+def test_new_engine_copies_from_the_previous_engine_of_a_session():
+    # An engine is added, and rendezvous hashing assigns it a share of the sessions.
+    # Only other routers have sent requests of these sessions so far.
     copies = make_copies()
     grown = [*NAMES, "engine-new"]
     copies.observe_endpoints(grown, JOINED_S)
@@ -68,9 +69,9 @@
     assert find(copies, "engine-new", grown, prompt=moved) == find_home(moved)
 
 
-def test_engine_that_leaves_is_copied_from_before_it_is_gone():
-    # Engines are replaced one after the other. One that leaves takes no new requests,
-    # but holds the parts of all its sessions until it ends.
+def test_leaving_engine_is_a_copy_source():
+    # Engines are replaced one after the other.  A leaving engine takes no new requests,
+    # but caches the parts of all its sessions until it stops.
     home, second, *_ = rank_engines()
     states = {home: "leaving"}
     engines = EndpointPool(make_engine(n, states.get(n, "live")) for n in NAMES)
@@ -79,23 +80,23 @@
     assert source.name == home
 
 
-def test_engine_to_which_a_session_was_sent_goes_before_a_guess():
+def test_known_holder_takes_precedence_over_a_guess():
     copies = make_copies()
     home, second, third, *_ = rank_engines()
     copies.record_send(PROMPT, third, JOINED_S)
     assert find(copies, second) == third
 
 
-def test_engine_that_holds_the_session_copies_nothing():
+def test_engine_that_caches_the_session_copies_nothing():
     copies = make_copies()
     home = find_home()
     copies.record_send(PROMPT, home, JOINED_S)
     assert find(copies, home) is None
 
 
-def test_first_session_of_a_kind_copies_what_all_of_its_kind_begin_with():
-    # Each engine once reads what all prompts of a kind begin with, and a new session
-    # goes to an engine that has not yet.
+def test_first_session_of_a_kind_copies_the_shared_prefix():
+    # All prompts of a kind begin alike, and a new session goes to an engine that has
+    # not read this beginning yet.
     copies = make_copies()
     home, other, *_ = rank_engines()
     copies.record_send(make_prompt(session="another"), other, JOINED_S)
@@ -103,8 +104,8 @@
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_engine_that_failed_or_cannot_be_reached_is_not_copied_from(known):
-    # The link to an engine in a zone that is cut off would hold the request up for
+def test_failed_or_unreachable_engine_is_no_copy_source(known):
+    # Copying from an engine in a zone that is cut off would delay the request for
     # longer than reading its prompt takes.
     copies = make_copies()
     home, second, *_ = rank_engines()
@@ -113,25 +114,25 @@
     assert find(copies, second, avoid={home}) != home
 
 
-def test_entries_that_arrive_one_by_one_at_the_start_are_no_newcomers():
-    # At the start of a deployment entries are written one after the other. Were all
-    # but the first taken for newcomers, every guess would name that one engine.
+def test_endpoints_observed_during_startup_are_not_new():
+    # When a deployment starts, its endpoints appear one after the other.  If all but
+    # the first counted as new, every guess would name that one engine.
     copies = make_copies(NAMES[:1])
-    copies.observe_endpoints(NAMES, FIRST_HEARD_S)
+    copies.observe_endpoints(NAMES, STARTUP_WINDOW_S)
     home, second, *_ = rank_engines()
-    assert find(copies, second, now_s=FIRST_HEARD_S) == home
+    assert find(copies, second, now_s=STARTUP_WINDOW_S) == home
 
 
-def test_newcomer_is_one_of_all_after_a_while():
+def test_new_engine_is_a_copy_source_after_a_while():
     copies = make_copies()
     grown = [*NAMES, "engine-new"]
     copies.observe_endpoints(grown, JOINED_S)
-    now_s = JOINED_S + NEWCOMER_S
+    now_s = JOINED_S + NEW_ENDPOINT_S
     moved = find_moved(grown)
     assert find(copies, NAMES[0], grown, (), now_s, moved) == "engine-new"
 
 
-def test_what_is_new_of_an_engine_is_told_once():
+def test_new_holder_is_reported_once():
     copies = make_copies()
     found = copies.record_send(PROMPT, NAMES[0], JOINED_S)
     assert [(held.engine, held.tokens) for held in found] == [
@@ -145,9 +146,9 @@
     ]
 
 
-def test_nothing_is_told_of_what_all_engines_hold():
-    # Every prompt of a kind begins alike, and each engine soon holds that.  Only a few
-    # holders are remembered, so each send would pass for news.
+def test_prefix_cached_by_all_engines_is_not_reported():
+    # All prompts of a kind begin alike, and each engine soon caches this beginning.
+    # Only a few holders are indexed, so without a limit each send would be gossiped.
     copies = make_copies()
     for name in NAMES[:HOLDERS_MAX]:
         copies.record_send(PROMPT, name, JOINED_S)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -34,7 +34,7 @@
 
 
 def place_all(pool, chats=300, placement=None, now_s=0.0):
-    """Send one request of each chat, each ending before the next."""
+    """Send one request of each chat, one after the other."""
     placement = placement or LoadBalancer(2.0)
     places = {}
     for number in range(chats):
@@ -48,14 +48,14 @@
     ("load_factor", "total", "count", "bound"),
     [(1.5, 1, 5, 1), (1.5, 4, 5, 2), (1.25, 20, 5, 5), (2.0, 21, 5, 9), (1.0, 6, 5, 2)],
 )
-def test_bound_of_small_means(load_factor, total, count, bound):
+def test_bound_is_rounded_up(load_factor, total, count, bound):
     assert compute_bound(load_factor, total, count) == bound
 
 
 @pytest.mark.parametrize("left_out", [1, 3, 5])
-def test_endpoints_that_are_left_out_raise_no_bound(left_out):
-    # Guards against a few engines that carry several times the mean because the others
-    # are left out for their failures.
+def test_excluded_endpoints_do_not_raise_the_bound(left_out):
+    # Guards against a few engines carrying several times the mean load because the
+    # others are excluded after failures.
     placement, engines = LoadBalancer(1.5), EndpointPool(make_pool(6))
     names = list(engines.by_name)
     well = engines.exclude(names[:left_out])
@@ -76,9 +76,9 @@
 
 
 def test_hot_chat_does_not_fill_its_engine():
-    # One chat (a shared pattern sheet that all fitters open) is asked for far more
-    # often than the rest.  Sent to its own engine each time, it would fill that engine,
-    # and the callers of all other chats there would wait behind it.
+    # One chat (a shared pattern sheet that all fitters open) gets far more requests
+    # than the rest.  Sent to the same engine each time, they would fill it, and the
+    # callers of all other chats there would wait.
     placement, pool = LoadBalancer(1.5), make_pool(5)
     loads = dict.fromkeys((endpoint.name for endpoint in pool), 0)
     for number in range(100):
@@ -86,10 +86,10 @@
     assert max(loads.values()) <= compute_bound(1.5, 100, 5)
 
 
-def test_returning_chat_follows_its_prefix():
-    # A chat that overflowed to a second engine comes back for its next turn.  Sent to
-    # its first engine, which has only the older part of the prefix, the caller would
-    # wait while the rest is computed.
+def test_returning_chat_goes_to_the_engine_with_its_longest_prefix():
+    # A chat that overflowed to a second engine returns for its next turn.  At its first
+    # engine, which caches only the older part of the prefix, the caller would wait
+    # while the rest is computed.
     placement, pool = LoadBalancer(1.5), make_pool(5)
     first = placement.choose(ask("c"), pool, 0.0).endpoint.name
     placement.start(first, ask("c")._replace(tokens=100), 0.0)
@@ -105,10 +105,10 @@
 
 
 @pytest.mark.parametrize("is_known", [True, False])
-def test_flap_moves_only_the_chats_of_the_changed_engine(is_known):
-    # An engine drops out for a moment.  Were other chats to move with it, members who
-    # never met the failed engine would wait for their whole pattern to be read again.
-    # It holds as well at a router that has just replaced another and knows no chat.
+def test_flapping_engine_moves_only_its_own_chats(is_known):
+    # An engine is briefly unavailable.  If other chats moved as well, callers that
+    # never used the failed engine would wait for their prompts to be read again.  The
+    # same applies to a router that has just replaced another and knows no chats.
     pool, placement = make_pool(5), LoadBalancer(2.0) if is_known else None
     before = place_all(pool, placement=placement)
     rest = [endpoint for endpoint in pool if endpoint.name != "engine-2"]
@@ -118,9 +118,9 @@
     assert place_all(pool, placement=placement, now_s=2.0) == before
 
 
-def test_chat_whose_prefix_was_evicted_goes_where_hashing_sends_it():
-    # The engine that took a chat during an overflow has dropped it since.  The event
-    # tells so; without it the chat would go on to an engine that has nothing.
+def test_chat_with_an_evicted_prefix_goes_to_its_first_engine():
+    # An engine evicts a chat that overflowed to it.  Without processing the eviction
+    # event, the router would keep sending the chat to an engine with no cached prefix.
     placement, pool = LoadBalancer(1.5), make_pool(5)
     first = placement.choose(ask("c"), pool, 0.0).endpoint.name
     other = next(e.name for e in pool if e.name != first)
@@ -131,7 +131,7 @@
     assert placement.choose(ask("c"), pool, 2.0).endpoint.name == first
 
 
-def test_zone_of_the_caller_is_preferred_without_a_chat():
+def test_requests_without_a_chat_prefer_the_zone_of_the_caller():
     placement, pool = LoadBalancer(2.0), make_pool(6)
     for number in range(12):
         request = PlacementRequest(f"lookup-{number}", zone="kamnik-hall")
@@ -141,7 +141,7 @@
     assert len({placement.choose(r, pool, 0.0).endpoint.name for r in zones}) == 1
 
 
-def test_full_and_leaving_endpoints_get_nothing():
+def test_full_and_leaving_endpoints_get_no_requests():
     placement, pool = LoadBalancer(2.0), make_pool(2, slots=1)
     leaving = [pool[0]._replace(state="leaving"), pool[1]]
     assert send(placement, ask("a"), leaving) == "engine-1"
@@ -149,7 +149,7 @@
     assert placement.choose(ask("b"), [], 0.0) is None
 
 
-def test_slow_start_takes_part_of_the_bound():
+def test_slow_start_limits_an_endpoint_to_its_share_of_the_bound():
     placement, pool = LoadBalancer(2.0), make_pool(4)
     taken = {endpoint.name: 0 for endpoint in pool}
     for number in range(80):
@@ -163,9 +163,9 @@
 
 @pytest.mark.parametrize("is_silent", [False, True])
 def test_routers_do_not_herd_onto_the_engine_that_last_reported_idle(is_silent):
-    # One engine reports idle and the next reports are late or lost.  If all routers
-    # took the report as it stands, they would send all their work there, and each of
-    # those callers would wait behind all the others.
+    # One engine reports idle, and its next reports are late or lost.  If all routers
+    # relied on that report alone, they would send all their requests to this engine,
+    # whose callers would wait behind each other.
     pool = make_pool(5)
     names = [endpoint.name for endpoint in pool]
     taken = dict.fromkeys(names, 0)
@@ -183,13 +183,15 @@
         for number in range(20):
             request = PlacementRequest(f"{router}/{number}")
             taken[send(placement, request, pool, now_s)] += 1
-    # Two draws out of five send at most 2/5 to one engine, if all others look full.
+    # Sampling two of five engines sends at most 2/5 of the requests to one of them,
+    # even if all others seem full.
     assert taken["engine-3"] <= (140 / 5 * 1.5 if is_silent else 140 * 2 / 5 * 1.2)
 
 
 def test_late_report_does_not_count_own_requests_twice():
-    # A report from before our own sends arrives after them, and an older one after
-    # that.  Counted wrongly, the engine seems idle and is filled, or full and is left.
+    # A report that predates own sends arrives after them, followed by an even older
+    # one.  Counted wrongly, the engine seems idle and is overloaded, or seems full and
+    # is avoided.
     loads = Loads()
     loads.start("e", 1.0)
     loads.start("e", 3.0)
@@ -200,10 +202,10 @@
     assert loads.estimate(["e"], 5.0) == [5]
 
 
-def test_digest_from_before_an_own_request_ended_does_not_keep_its_engine_full():
-    # The owner counts our only request, and its digest arrives when the request has
-    # just ended.  Taken for another router's, it kept the chats of the engine away
-    # from its cache for seconds; a slow engine was then not even recognised.
+def test_digest_that_predates_the_end_of_an_own_request_is_corrected():
+    # The owner counts this router's only request, and its digest arrives just after the
+    # request has ended.  Attributed to another router, it keeps the engine's chats away
+    # from their cache for seconds, and a slow engine isn't detected.
     loads = Loads()
     loads.start("e", 1.0)
     loads.finish("e", 2.0)
