--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -9,7 +9,7 @@
 from tamarackrill.decisions.loads import EndpointLoad, Loads
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.reservations import Reservations, find_owner
-from tamarackrill.decisions.routing import Placement, PlacementRequest, compute_bound
+from tamarackrill.decisions.routing import LoadBalancer, PlacementRequest, compute_bound
 
 ZONES = ("kranj-hall", "kamnik-hall")
 
@@ -34,8 +34,8 @@
 
 
 def place_all(pool, chats=300, placement=None, now_s=0.0):
-    """Send one request of each chat, each ending before the next."""
-    placement = placement or Placement(2.0)
+    """Send one request of each chat, one after the other."""
+    placement = placement or LoadBalancer(2.0)
     places = {}
     for number in range(chats):
         name = send(placement, ask(f"chat-{number}"), pool, now_s)
@@ -48,17 +48,17 @@
     ("load_factor", "total", "count", "bound"),
     [(1.5, 1, 5, 1), (1.5, 4, 5, 2), (1.25, 20, 5, 5), (2.0, 21, 5, 9), (1.0, 6, 5, 2)],
 )
-def test_bound_of_small_means(load_factor, total, count, bound):
+def test_bound_is_rounded_up(load_factor, total, count, bound):
     assert compute_bound(load_factor, total, count) == bound
 
 
 @pytest.mark.parametrize("left_out", [1, 3, 5])
-def test_endpoints_that_are_left_out_raise_no_bound(left_out):
-    # Guards against a few engines that carry several times the mean because the others
-    # are left out for their failures.
-    placement, engines = Placement(1.5), EndpointPool(make_pool(6))
+def test_excluded_endpoints_do_not_raise_the_bound(left_out):
+    # Guards against a few engines carrying several times the mean load because the
+    # others are excluded after failures.
+    placement, engines = LoadBalancer(1.5), EndpointPool(make_pool(6))
     names = list(engines.by_name)
-    well = engines.leave_out(names[:left_out])
+    well = engines.exclude(names[:left_out])
     for name in names:
         for _ in range(4):
             placement.start(name, ask(name), 0.0)
@@ -76,21 +76,21 @@
 
 
 def test_hot_chat_does_not_fill_its_engine():
-    # One chat (a shared pattern sheet that all fitters open) is asked for far more
-    # often than the rest.  Sent to its own engine each time, it would fill that engine,
-    # and the callers of all other chats there would wait behind it.
-    placement, pool = Placement(1.5), make_pool(5)
+    # One chat (a shared pattern sheet that all fitters open) gets far more requests
+    # than the rest.  Sent to the same engine each time, they would fill it, and the
+    # callers of all other chats there would wait.
+    placement, pool = LoadBalancer(1.5), make_pool(5)
     loads = dict.fromkeys((endpoint.name for endpoint in pool), 0)
     for number in range(100):
         loads[send(placement, ask("hot", number), pool)] += 1
     assert max(loads.values()) <= compute_bound(1.5, 100, 5)
 
 
-def test_returning_chat_follows_its_prefix():
-    # A chat that overflowed to a second engine comes back for its next turn.  Sent to
-    # its first engine, which has only the older part of the prefix, the caller would
-    # wait while the rest is computed.
-    placement, pool = Placement(1.5), make_pool(5)
+def test_returning_chat_goes_to_the_engine_with_its_longest_prefix():
+    # A chat that overflowed to a second engine returns for its next turn.  At its first
+    # engine, which caches only the older part of the prefix, the caller would wait
+    # while the rest is computed.
+    placement, pool = LoadBalancer(1.5), make_pool(5)
     first = placement.choose(ask("c"), pool, 0.0).endpoint.name
     placement.start(first, ask("c")._replace(tokens=100), 0.0)
     for _ in range(5):
@@ -105,11 +105,11 @@
 
 
 @pytest.mark.parametrize("is_known", [True, False])
-def test_flap_moves_only_the_chats_of_the_changed_engine(is_known):
-    # An engine drops out for a moment.  Were other chats to move with it, members who
-    # never met the failed engine would wait for their whole pattern to be read again.
-    # It holds as well at a router that has just replaced another and knows no chat.
-    pool, placement = make_pool(5), Placement(2.0) if is_known else None
+def test_flapping_engine_moves_only_its_own_chats(is_known):
+    # An engine is briefly unavailable.  If other chats moved as well, callers that
+    # never used the failed engine would wait for their prompts to be read again.  The
+    # same applies to a router that has just replaced another and knows no chats.
+    pool, placement = make_pool(5), LoadBalancer(2.0) if is_known else None
     before = place_all(pool, placement=placement)
     rest = [endpoint for endpoint in pool if endpoint.name != "engine-2"]
     during = place_all(rest, placement=placement, now_s=1.0)
@@ -118,10 +118,10 @@
     assert place_all(pool, placement=placement, now_s=2.0) == before
 
 
-def test_chat_whose_prefix_was_evicted_goes_where_hashing_sends_it():
-    # The engine that took a chat during an overflow has dropped it since.  The event
-    # tells so; without it the chat would go on to an engine that has nothing.
-    placement, pool = Placement(1.5), make_pool(5)
+def test_chat_with_an_evicted_prefix_goes_to_its_first_engine():
+    # An engine evicts a chat that overflowed to it.  Without processing the eviction
+    # event, the router would keep sending the chat to an engine with no cached prefix.
+    placement, pool = LoadBalancer(1.5), make_pool(5)
     first = placement.choose(ask("c"), pool, 0.0).endpoint.name
     other = next(e.name for e in pool if e.name != first)
     placement.start(other, ask("c"), 0.0)
@@ -131,8 +131,8 @@
     assert placement.choose(ask("c"), pool, 2.0).endpoint.name == first
 
 
-def test_zone_of_the_caller_is_preferred_without_a_chat():
-    placement, pool = Placement(2.0), make_pool(6)
+def test_requests_without_a_chat_prefer_the_zone_of_the_caller():
+    placement, pool = LoadBalancer(2.0), make_pool(6)
     for number in range(12):
         request = PlacementRequest(f"lookup-{number}", zone="kamnik-hall")
         choice = placement.choose(request, pool, 0.0)
@@ -141,16 +141,16 @@
     assert len({placement.choose(r, pool, 0.0).endpoint.name for r in zones}) == 1
 
 
-def test_full_and_leaving_endpoints_get_nothing():
-    placement, pool = Placement(2.0), make_pool(2, slots=1)
+def test_full_and_leaving_endpoints_get_no_requests():
+    placement, pool = LoadBalancer(2.0), make_pool(2, slots=1)
     leaving = [pool[0]._replace(state="leaving"), pool[1]]
     assert send(placement, ask("a"), leaving) == "engine-1"
     assert placement.choose(ask("b"), leaving, 0.0) is None
     assert placement.choose(ask("b"), [], 0.0) is None
 
 
-def test_slow_start_takes_part_of_the_bound():
-    placement, pool = Placement(2.0), make_pool(4)
+def test_slow_start_limits_an_endpoint_to_its_share_of_the_bound():
+    placement, pool = LoadBalancer(2.0), make_pool(4)
     taken = {endpoint.name: 0 for endpoint in pool}
     for number in range(80):
         choice = placement.choose(
@@ -163,14 +163,14 @@
 
 @pytest.mark.parametrize("is_silent", [False, True])
 def test_routers_do_not_herd_onto_the_engine_that_last_reported_idle(is_silent):
-    # One engine reports idle and the next reports are late or lost.  If all routers
-    # took the report as it stands, they would send all their work there, and each of
-    # those callers would wait behind all the others.
+    # One engine reports idle, and its next reports are late or lost.  If all routers
+    # relied on that report alone, they would send all their requests to this engine,
+    # whose callers would wait behind each other.
     pool = make_pool(5)
     names = [endpoint.name for endpoint in pool]
     taken = dict.fromkeys(names, 0)
     for router in range(7):
-        placement = Placement(1.5)
+        placement = LoadBalancer(1.5)
         for name in names:
             load = 0 if name == "engine-3" else 20
             placement.observe_report(name, load, 0.0, 1.0)
@@ -183,13 +183,15 @@
         for number in range(20):
             request = PlacementRequest(f"{router}/{number}")
             taken[send(placement, request, pool, now_s)] += 1
-    # Two draws out of five send at most 2/5 to one engine, if all others look full.
+    # Sampling two of five engines sends at most 2/5 of the requests to one of them,
+    # even if all others seem full.
     assert taken["engine-3"] <= (140 / 5 * 1.5 if is_silent else 140 * 2 / 5 * 1.2)
 
 
 def test_late_report_does_not_count_own_requests_twice():
-    # A report from before our own sends arrives after them, and an older one after
-    # that.  Counted wrongly, the engine seems idle and is filled, or full and is left.
+    # A report that predates own sends arrives after them, followed by an even older
+    # one.  Counted wrongly, the engine seems idle and is overloaded, or seems full and
+    # is avoided.
     loads = Loads()
     loads.start("e", 1.0)
     loads.start("e", 3.0)
@@ -200,10 +202,10 @@
     assert loads.estimate(["e"], 5.0) == [5]
 
 
-def test_digest_from_before_an_own_request_ended_does_not_keep_its_engine_full():
-    # The owner counts our only request, and its digest arrives when the request has
-    # just ended.  Taken for another router's, it kept the chats of the engine away
-    # from its cache for seconds; a slow engine was then not even recognised.
+def test_digest_that_predates_the_end_of_an_own_request_is_corrected():
+    # The owner counts this router's only request, and its digest arrives just after the
+    # request has ended.  Attributed to another router, it keeps the engine's chats away
+    # from their cache for seconds, and a slow engine isn't detected.
     loads = Loads()
     loads.start("e", 1.0)
     loads.finish("e", 2.0)
@@ -228,7 +230,9 @@
         self.pool = make_pool(5, slots=12)
         self.now_s = 0.0
         self.number = 0
-        self.placements = {name: Placement(self.load_factor) for name in self.routers}
+        self.placements = {
+            name: LoadBalancer(self.load_factor) for name in self.routers
+        }
         self.owned = {name: Reservations(self.load_factor) for name in self.routers}
         self.running = {}
         self.seen = [dict.fromkeys((e.name for e in self.pool), 0)]
@@ -250,7 +254,7 @@
         self.number += 1
         request = ask(f"chat-{chat}", self.number)
         refused = []
-        while len(refused) < owners.ASKS_MAX:
+        while len(refused) < owners.RESERVATION_ATTEMPTS_MAX:
             choice = self.placements[router].choose(
                 request, self.pool, self.now_s, None, refused
             )
