--- a/bench/endpoint_news.py
+++ b/bench/endpoint_news.py
@@ -14,7 +14,11 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from tamarackrill.decisions.endpoint_news import EndpointNews, Failures, hash_teller
+from tamarackrill.decisions.endpoint_news import (
+    EndpointNews,
+    FailureReport,
+    hash_reporter,
+)
 from tamarackrill.decisions.fleet_health import FleetHealth
 from tamarackrill.decisions.placement_news import TICK_S, PlacementNews, SendNews
 from tamarackrill.decisions.routing import compute_bound
@@ -58,10 +62,10 @@
         zones = {
             name: f"z{number % size.zones}" for number, name in enumerate(self.names)
         }
-        by_teller = {hash_teller(name): zone for name, zone in zones.items()}
+        by_teller = {hash_reporter(name): zone for name, zone in zones.items()}
         self.pool = {f"e{number}": 48 for number in range(size.endpoints)}
         self.relays = {n: PlacementNews(n, zones[n]) for n in self.names}
-        self.news = {n: EndpointNews(hash_teller(n), 0) for n in self.names}
+        self.news = {n: EndpointNews(hash_reporter(n), 0) for n in self.names}
         self.shared = {n: FleetHealth(by_teller.get, zones[n]) for n in self.names}
         self.sent_bytes = dict.fromkeys(self.names, 0)
         for relay in self.relays.values():
@@ -82,7 +86,7 @@
     def take(self, name: str, entries: list, now_s: float) -> None:
         """Give a router what it was told."""
         for entry in entries:
-            if isinstance(entry, Failures):
+            if isinstance(entry, FailureReport):
                 self.shared[name].observe(entry, now_s)
 
     def deliver(self, sender: str, actions: list[SendNews], now_s: float) -> None:
@@ -94,20 +98,20 @@
                 continue
             self.take(action.router, list(action.news.entries), now_s)
             self.deliver(
-                action.router, self.relays[action.router].hear(action.news), now_s
+                action.router, self.relays[action.router].receive(action.news), now_s
             )
 
     def count_acting(self, now_s: float) -> int:
         """Return how many routers leave the failing endpoint out."""
-        return sum(FAILING in self.find_left_out(name, now_s) for name in self.names)
+        return sum(FAILING in self.find_paused(name, now_s) for name in self.names)
 
-    def find_left_out(self, name: str, now_s: float) -> set[str]:
+    def find_paused(self, name: str, now_s: float) -> set[str]:
         """Return the endpoints that a router leaves out."""
         health = self.shared[name]
-        if health.is_quiet:
+        if health.has_no_failures:
             return set()
         health.pause_failing(self.pool, now_s)
-        return health.find_left_out(self.pool, 0, now_s)
+        return health.find_paused(self.pool, 0, now_s)
 
 
 def list_arrivals(fleet: Fleet, until_s: float) -> Iterator[tuple[float, str, str]]:
@@ -149,7 +153,7 @@
             tick_s += TICK_S
             fleet.tick(now_s)
             for name in fleet.names[:3]:
-                wrong |= fleet.find_left_out(name, now_s)
+                wrong |= fleet.find_paused(name, now_s)
     return len(wrong)
 
 
--- a/bench/placement_news.py
+++ b/bench/placement_news.py
@@ -119,7 +119,7 @@
             receiver = self.routers[action.router]
             for held in action.news.entries:
                 receiver.index.record_send(held.key, held.engine, held.tokens, now_s)
-            self.deliver(receiver, receiver.news.hear(action.news), now_s)
+            self.deliver(receiver, receiver.news.receive(action.news), now_s)
 
 
 def make_engine(number: int) -> Endpoint:
--- a/src/tamarackrill/decisions/endpoint_news.py
+++ b/src/tamarackrill/decisions/endpoint_news.py
@@ -22,25 +22,25 @@
 # A load of less than this share of the bound keeps nobody from sending there.  Told
 # from 0.6 of it on, 1.1 in 100 of the requests named at `loads.NEWS_KEPT_S` came to an
 # engine above the bound, and 0.8 with this: others push aside what counts.
-LOAD_TOLD_SHARE = 0.8
+LOAD_REPORTED_SHARE = 0.8
 # Endpoints whose load one router tells in one tick, the fullest ones; it hears of two
 # in that time at 6,500 requests a second over 370 routers.
-LOADS_TOLD_MAX = 4
+LOADS_REPORTED_MAX = 4
 # Endpoints whose failures one router tells in one tick.
-FAILURES_TOLD_MAX = 6
+FAILURES_REPORTED_MAX = 6
 # Failures of one endpoint that one router tells in one tick: they fit into a byte.
 FAILED_MAX = 127
 
 
-class Failures(NamedTuple):
+class FailureReport(NamedTuple):
     """Failures that one router saw at an endpoint in one tick.
 
     Parameters
     ----------
     endpoint : str
         Name of the endpoint.
-    teller : int
-        The router; see `hash_teller`.
+    reporter : int
+        The router; see `hash_reporter`.
     sequence : int
         Number of the tick; with the teller and the endpoint it is told once.
     failed : int
@@ -48,21 +48,21 @@
     """
 
     endpoint: str
-    teller: int
+    reporter: int
     sequence: int
     failed: int
 
 
-class Misplaced(NamedTuple):
+class MisplacedReport(NamedTuple):
     """Another endpoint answers at the address of this one."""
 
     endpoint: str
 
 
-Fact = EndpointLoad | Failures | Misplaced
+EndpointReport = EndpointLoad | FailureReport | MisplacedReport
 
 
-def hash_teller(router: str) -> int:
+def hash_reporter(router: str) -> int:
     """Return the number of 31 bits by which a router tells who it is."""
     return hashing.hash_name(router) >> 33
 
@@ -72,14 +72,14 @@
 
     Parameters
     ----------
-    teller : int
-        See `hash_teller`.
+    reporter : int
+        See `hash_reporter`.
     sequence : int
         Number of its first tick, above all of an earlier process of its name.
     """
 
-    def __init__(self, teller: int, sequence: int) -> None:
-        self._teller = teller
+    def __init__(self, reporter: int, sequence: int) -> None:
+        self._teller = reporter
         self._sequence = sequence
         self._loads: dict[str, int] = {}
         self._failed: Counter[str] = Counter()
@@ -97,7 +97,7 @@
         bound : int
             Most requests that it may have; see `routing.compute_bound`.
         """
-        if load >= LOAD_TOLD_SHARE * bound:
+        if load >= LOAD_REPORTED_SHARE * bound:
             self._loads[endpoint] = load
         else:
             self._loads.pop(endpoint, None)
@@ -110,16 +110,18 @@
         """Take that another endpoint has answered at the address of one."""
         self._misplaced.add(endpoint)
 
-    def take(self) -> list[Fact]:
+    def take(self) -> list[EndpointReport]:
         """Return what is to be told now, and forget it."""
         self._sequence += 1
         fullest = sorted(self._loads.items(), key=lambda item: (-item[1], item[0]))
-        facts: list[Fact] = [EndpointLoad(*item) for item in fullest[:LOADS_TOLD_MAX]]
+        facts: list[EndpointReport] = [
+            EndpointLoad(*item) for item in fullest[:LOADS_REPORTED_MAX]
+        ]
         facts += [
-            Failures(name, self._teller, self._sequence, min(failed, FAILED_MAX))
-            for name, failed in self._failed.most_common(FAILURES_TOLD_MAX)
+            FailureReport(name, self._teller, self._sequence, min(failed, FAILED_MAX))
+            for name, failed in self._failed.most_common(FAILURES_REPORTED_MAX)
         ]
-        facts += [Misplaced(name) for name in sorted(self._misplaced)]
+        facts += [MisplacedReport(name) for name in sorted(self._misplaced)]
         self._loads.clear()
         self._failed.clear()
         self._misplaced.clear()
--- a/src/tamarackrill/decisions/failure_clusters.py
+++ b/src/tamarackrill/decisions/failure_clusters.py
@@ -30,19 +30,19 @@
 EVIDENCE_SHARE = 2.0
 
 
-class Failed(NamedTuple):
+class FailureCounts(NamedTuple):
     """Failures of one endpoint within one time.
 
     Parameters
     ----------
-    believed : int
+    accepted : int
         Those that count against it.
-    told : int
+    reported : int
         All that were told; they count where others are compared with it.
     """
 
-    believed: int
-    told: int
+    accepted: int
+    reported: int
 
 
 class _Division(NamedTuple):
@@ -67,7 +67,7 @@
     failing_mean: float
 
 
-def find_failing(failed: Mapping[str, Failed]) -> set[str]:
+def find_failing(failed: Mapping[str, FailureCounts]) -> set[str]:
     """Return the endpoints that fail while others of their pool are well.
 
     Parameters
@@ -87,23 +87,23 @@
     if division.evidence < EVIDENCE_MIN + EVIDENCE_SHARE * failing_share:
         return set()
     least = max(FAILED_MIN, MULTIPLE_MIN * division.well_mean)
-    return {name for name, counts in failed.items() if counts.believed >= least}
+    return {name for name, counts in failed.items() if counts.accepted >= least}
 
 
-def _divide(counts: Sequence[Failed]) -> _Division | None:
+def _divide(counts: Sequence[FailureCounts]) -> _Division | None:
     """Return the most likely division whose parts differ enough, if there is one."""
-    ordered = sorted(counts, key=lambda item: -item.believed)
-    told = sum(item.told for item in ordered)
-    believed = 0
+    ordered = sorted(counts, key=lambda item: -item.accepted)
+    reported = sum(item.reported for item in ordered)
+    accepted = 0
     best: _Division | None = None
     for size, (last, following) in enumerate(
         zip(ordered, ordered[1:], strict=False), 1
     ):
-        believed += last.believed
-        told -= last.told
-        if last.believed == following.believed:
+        accepted += last.accepted
+        reported -= last.reported
+        if last.accepted == following.accepted:
             continue
-        division = _weigh(believed, size, told, len(ordered) - size)
+        division = _weigh(accepted, size, reported, len(ordered) - size)
         if division.failing_mean < MULTIPLE_MIN * division.well_mean:
             continue
         if best is None or division.evidence > best.evidence:
--- a/src/tamarackrill/decisions/fleet_health.py
+++ b/src/tamarackrill/decisions/fleet_health.py
@@ -29,15 +29,15 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import NamedTuple
 
-from tamarackrill.decisions.endpoint_news import Failures
+from tamarackrill.decisions.endpoint_news import FailureReport
 from tamarackrill.decisions.failure_clusters import FAILED_MIN as FAILED_MIN
-from tamarackrill.decisions.failure_clusters import Failed, find_failing
+from tamarackrill.decisions.failure_clusters import FailureCounts, find_failing
 
 # Failures of one endpoint within this time are looked at together.
 WINDOW_S = 5.0
 # Of one router no more than this counts for an endpoint, within one window.
-TELLER_MAX = 3
-TELLERS_MIN = 2
+REPORTER_FAILURES_MAX = 3
+REPORTERS_MIN = 2
 # Other zones that must tell before what they tell counts in this one.
 ZONES_MIN = 2
 # The first pause, and the longest.  Endpoints fail for seconds to minutes; each return
@@ -48,10 +48,10 @@
 RELAPSE_S = 6.0
 LOAD_CAP_DEFAULT = 2.0
 # Part of the slots of those that are left that may be taken by all requests.
-ROOM_SHARE = 0.5
+OCCUPANCY_MAX = 0.5
 # What was told is remembered for so long, so that it counts once however late it comes
 # again.
-HEARD_KEPT_S = 30.0
+REPORT_KEPT_S = 30.0
 
 
 class PoolFailures(NamedTuple):
@@ -78,7 +78,7 @@
 
 class _Count(NamedTuple):
     heard_s: float
-    teller: int
+    reporter: int
     failed: int
 
 
@@ -87,7 +87,7 @@
     pause_s: float
 
 
-_NONE_FAILED = Failed(0, 0)
+_NONE_FAILED = FailureCounts(0, 0)
 
 
 class FleetHealth:
@@ -125,14 +125,14 @@
         for name in names:
             self._joined_s.setdefault(name, joined_s)
 
-    def observe(self, told: Failures, now_s: float) -> None:
+    def observe(self, reported: FailureReport, now_s: float) -> None:
         """Take what a router tells; the second time it is passed over."""
-        key = (told.endpoint, told.teller, told.sequence)
+        key = (reported.endpoint, reported.reporter, reported.sequence)
         if key in self._heard_s:
             return
         self._heard_s[key] = now_s
-        counts = self._counts.setdefault(told.endpoint, [])
-        counts.append(_Count(now_s, told.teller, told.failed))
+        counts = self._counts.setdefault(reported.endpoint, [])
+        counts.append(_Count(now_s, reported.reporter, reported.failed))
 
     def remove(self, endpoint: str) -> None:
         """Forget an endpoint that is gone or has started anew."""
@@ -147,7 +147,7 @@
                 self.remove(name)
 
     @property
-    def is_quiet(self) -> bool:
+    def has_no_failures(self) -> bool:
         """Whether nothing was told of late, so that there is nothing to work out."""
         return not self._counts and not self._pauses
 
@@ -155,7 +155,7 @@
         """Pause the endpoints of a pool that fail; return those that are new."""
         self._forget(now_s)
         failed = {name: self._count(name) for name in pool if name in self._counts}
-        if not any(counts.believed >= FAILED_MIN for counts in failed.values()):
+        if not any(counts.accepted >= FAILED_MIN for counts in failed.values()):
             return []
         compared = {
             name: failed.get(name, _NONE_FAILED)
@@ -166,7 +166,7 @@
             {
                 name: counts
                 for name, counts in compared.items()
-                if counts.believed >= FAILED_MIN or self._had_share(name, now_s)
+                if counts.accepted >= FAILED_MIN or self._had_share(name, now_s)
             }
         )
         for name in sorted(found):
@@ -179,13 +179,13 @@
         counts = [self._count(name) for name in unpaused if name in self._counts]
         return PoolFailures(
             len(pool),
-            sum(count.believed >= FAILED_MIN for count in counts),
+            sum(count.accepted >= FAILED_MIN for count in counts),
             len(pool) - len(unpaused),
-            max((count.told for count in counts), default=0),
-            sum(count.told for count in counts) / max(1, len(unpaused)),
+            max((count.reported for count in counts), default=0),
+            sum(count.reported for count in counts) / max(1, len(unpaused)),
         )
 
-    def find_left_out(
+    def find_paused(
         self, slots: Mapping[str, int], in_flight: int, now_s: float
     ) -> set[str]:
         """Return the paused endpoints of a pool, as many as the rest has room for.
@@ -224,27 +224,27 @@
             began_s = max(began_s, pause.until_s)
         return began_s <= now_s - WINDOW_S
 
-    def _count(self, name: str) -> Failed:
+    def _count(self, name: str) -> FailureCounts:
         by_teller: dict[int, int] = {}
         for count in self._counts[name]:
-            by_teller[count.teller] = by_teller.get(count.teller, 0) + count.failed
+            by_teller[count.reporter] = by_teller.get(count.reporter, 0) + count.failed
         # Of the endpoints that others are compared with everything counts.  Where each
         # zone sends to its own endpoints, their failures are told by one other zone
         # alone, and are no fewer for that.
-        return Failed(self._sum_believed(by_teller), sum(by_teller.values()))
+        return FailureCounts(self._sum_accepted(by_teller), sum(by_teller.values()))
 
-    def _sum_believed(self, by_teller: Mapping[int, int]) -> int:
+    def _sum_accepted(self, by_teller: Mapping[int, int]) -> int:
         """Return the failures that count, 0 if too few tell of them."""
-        zones = {teller: self._find_zone(teller) for teller in by_teller}
+        zones = {reporter: self._find_zone(reporter) for reporter in by_teller}
         elsewhere = set(zones.values()) - {self._own_zone, None}
         counts_all = len(elsewhere) >= ZONES_MIN
         counted = [
-            min(TELLER_MAX, failed)
-            for teller, failed in by_teller.items()
-            if zones[teller] == self._own_zone
-            or (counts_all and zones[teller] is not None)
+            min(REPORTER_FAILURES_MAX, failed)
+            for reporter, failed in by_teller.items()
+            if zones[reporter] == self._own_zone
+            or (counts_all and zones[reporter] is not None)
         ]
-        return sum(counted) if len(counted) >= TELLERS_MIN else 0
+        return sum(counted) if len(counted) >= REPORTERS_MIN else 0
 
     def _forget(self, now_s: float) -> None:
         oldest_s = now_s - WINDOW_S
@@ -254,7 +254,7 @@
                 self._counts[name] = kept
             else:
                 del self._counts[name]
-        heard_s = now_s - HEARD_KEPT_S
+        heard_s = now_s - REPORT_KEPT_S
         while self._heard_s:
             key = next(iter(self._heard_s))
             if self._heard_s[key] > heard_s:
@@ -272,7 +272,7 @@
     taken: set[str] = set()
     for name in names:
         left -= slots[name]
-        if len(taken) + 1 >= len(slots) or in_flight > ROOM_SHARE * left:
+        if len(taken) + 1 >= len(slots) or in_flight > OCCUPANCY_MAX * left:
             break
         taken.add(name)
     return taken
--- a/src/tamarackrill/decisions/health.py
+++ b/src/tamarackrill/decisions/health.py
@@ -33,7 +33,7 @@
 FAILURES_SHARE = 0.5
 FAILURES_ABOVE_PEERS = 0.3
 # Failures in a row that eject at once, as when connections are refused.
-FAILURES_IN_A_ROW = 3
+CONSECUTIVE_FAILURES = 3
 # Broken answers and departures this close together are one: a crash breaks all answers
 # in flight at once, and the membership tells of it some seconds later.
 SAME_DEPARTURE_S = 5.0
@@ -165,7 +165,7 @@
         """Take that an answer broke off because the endpoint's process ended.
 
         It counts as a departure and not as a failed answer: the request may be to
-        blame, and `forgive` takes it back once that is known.
+        blame, and `retract_crash` takes it back once that is known.
         """
         self._states.setdefault(endpoint, _State(now_s)).depart(now_s)
         self._suspects.add(endpoint)
@@ -222,7 +222,7 @@
         self._suspects.add(endpoint)
         return True
 
-    def forgive(self, endpoint: str, now_s: float) -> None:
+    def retract_crash(self, endpoint: str, now_s: float) -> None:
         """Take back the crash that a poison request has caused."""
         state = self._states.get(endpoint)
         if state is not None:
@@ -233,12 +233,12 @@
     def find_allowed(self, pool: Sequence[str], now_s: float) -> list[str]:
         """Return the endpoints of `pool` that may take new work.
 
-        See `find_kept_out`.
+        See `find_excluded`.
         """
-        kept_out = self.find_kept_out(dict.fromkeys(pool), now_s)
+        kept_out = self.find_excluded(dict.fromkeys(pool), now_s)
         return [name for name in pool if name not in kept_out]
 
-    def find_kept_out(self, pool: Collection[str], now_s: float) -> set[str]:
+    def find_excluded(self, pool: Collection[str], now_s: float) -> set[str]:
         """Return the endpoints of `pool` that may take no new work.
 
         If more than `EJECTED_SHARE` of the pool is stopped, those with the least
@@ -260,7 +260,9 @@
             stopped = stopped[excess:]
         return set(stopped)
 
-    def find_shares(self, pool: Sequence[str], now_s: float) -> dict[str, float]:
+    def find_slow_start_shares(
+        self, pool: Sequence[str], now_s: float
+    ) -> dict[str, float]:
         """Return the share of the bound of each endpoint in slow start.
 
         Relative to the warmest of the pool: when all of them are new, as after the
@@ -353,14 +355,14 @@
     def _is_outlier(self, endpoint: str, pool: Collection[str]) -> bool:
         own = self._states[endpoint]
         # Most answers tell of no fault, and then the others need not be looked at.
-        if own.in_a_row < FAILURES_IN_A_ROW and (
+        if own.in_a_row < CONSECUTIVE_FAILURES and (
             own.samples < SAMPLES_MIN
             or (own.failure_share < FAILURES_SHARE and own.first_token_s <= SLOW_MIN_S)
         ):
             return False
         peers = self._list_peers(endpoint, pool)
         failing = median_low([peer.failure_share for peer in peers]) if peers else 0.0
-        if own.in_a_row >= FAILURES_IN_A_ROW and failing < FAILURES_SHARE:
+        if own.in_a_row >= CONSECUTIVE_FAILURES and failing < FAILURES_SHARE:
             return True
         if own.samples < SAMPLES_MIN or not peers:
             return False
--- a/src/tamarackrill/decisions/isolation.py
+++ b/src/tamarackrill/decisions/isolation.py
@@ -21,7 +21,7 @@
 
 # A balancer asks once a second and takes a router out after two misses; for so long
 # after it has become unready, clients that come back may still be sent here.
-BALANCER_NOTICES_S = 2.2
+BALANCER_DETECTION_S = 2.2
 # A single endpoint that can't be reached tells nothing of the path to its zone.
 OUTSIDE_MIN = 2
 # Routers of each other zone that are asked: one of them may be restarting.
@@ -32,7 +32,7 @@
     zone: str,
     pools: Iterable[Sequence[Endpoint]],
     witnesses: Iterable[Endpoint],
-    doubtful: Collection[str],
+    unreachable: Collection[str],
 ) -> bool:
     """Return whether a router is cut off from what its clients ask for.
 
@@ -44,15 +44,15 @@
         Live endpoints of each service.
     witnesses : iterable of Endpoint
         Routers of other zones.
-    doubtful : collection of str
+    unreachable : collection of str
         Names of those that can't be reached.
     """
     known = [pool for pool in pools if pool]
     outside = {e.name for pool in known for e in pool if e.zone != zone}
     outside.update(witness.name for witness in witnesses)
-    if len(outside) < OUTSIDE_MIN or not outside.issubset(doubtful):
+    if len(outside) < OUTSIDE_MIN or not outside.issubset(unreachable):
         return False
-    return any(all(e.name in doubtful for e in pool) for pool in known)
+    return any(all(e.name in unreachable for e in pool) for pool in known)
 
 
 def choose_witnesses(zone: str, routers: Iterable[Endpoint]) -> list[Endpoint]:
@@ -87,19 +87,19 @@
         self,
         pools: Iterable[Sequence[Endpoint]],
         witnesses: Iterable[Endpoint],
-        doubtful: Collection[str],
+        unreachable: Collection[str],
         now_s: float,
     ) -> bool:
         """Take what can be reached now; return whether that is a change."""
         before = self.is_cut_off
-        if not is_isolated(self._zone, pools, witnesses, doubtful):
+        if not is_isolated(self._zone, pools, witnesses, unreachable):
             self._since_s = None
         elif self._since_s is None:
             self._since_s = now_s
         return self.is_cut_off != before
 
-    def find_elsewhere_s(self, now_s: float) -> float | None:
+    def compute_failover_s(self, now_s: float) -> float | None:
         """Return in what time clients reach other zones; None if they stay here."""
         if self._since_s is None:
             return None
-        return max(0.0, self._since_s + BALANCER_NOTICES_S - now_s)
+        return max(0.0, self._since_s + BALANCER_DETECTION_S - now_s)
--- a/src/tamarackrill/decisions/placement_news.py
+++ b/src/tamarackrill/decisions/placement_news.py
@@ -23,7 +23,7 @@
 from typing import NamedTuple
 
 from tamarackrill.decisions import hashing
-from tamarackrill.decisions.endpoint_news import Fact
+from tamarackrill.decisions.endpoint_news import EndpointReport
 from tamarackrill.decisions.loads import EndpointLoad
 
 # Between two batches of a router.  News is on its way for three ticks at most.  What is
@@ -57,7 +57,7 @@
 QUEUE_MAX = 2_000
 
 
-class Held(NamedTuple):
+class Holding(NamedTuple):
     """An engine holds a prefix.
 
     Parameters
@@ -78,17 +78,17 @@
 class Stage(IntEnum):
     """Where news is on its way."""
 
-    GATHERED = 0
+    TO_HUB = 0
     """From a router to the hub of its zone."""
-    CROSSING = 1
+    HUB_TO_HUB = 1
     """From one zone's hub to another's."""
-    SPREAD = 2
+    TO_ZONE = 2
     """From a hub to its zone; helpers pass it on."""
-    DELIVERED = 3
+    TO_ROUTER = 3
     """To a router that passes nothing on."""
 
 
-Entry = Held | Fact
+Entry = Holding | EndpointReport
 
 
 class News(NamedTuple):
@@ -154,7 +154,7 @@
         self._routers = 1
         self._allowance = 0.0
         self._allowed_s = -math.inf
-        self._own_news: dict[Held, _Told] = {}
+        self._own_news: dict[Holding, _Told] = {}
         self._to_spread = _Queue()
         self._to_cross = _Queue()
         self.dropped = 0
@@ -178,7 +178,7 @@
             zone: hashing.rank(zone, sorted(found)) for zone, found in names.items()
         }
 
-    def tell(self, held: Held, is_expected: bool, now_s: float) -> None:
+    def tell(self, held: Holding, is_expected: bool, now_s: float) -> None:
         """Take what this router has found out itself, for its next batch.
 
         Parameters
@@ -198,19 +198,21 @@
             del self._own_news[next(iter(self._own_news))]
             self.dropped += 1
 
-    def hear(self, news: News) -> list[SendNews]:
+    def receive(self, news: News) -> list[SendNews]:
         """Take another router's news; return what is passed on at once."""
-        if news.stage == Stage.SPREAD:
+        if news.stage == Stage.TO_ZONE:
             return self._pass_on(news)
-        if news.stage in (Stage.GATHERED, Stage.CROSSING):
+        if news.stage in (Stage.TO_HUB, Stage.HUB_TO_HUB):
             # Also while this router doesn't take itself for the hub: the sender knows
             # of fewer or more routers, and nobody else will pass it on.
             self.dropped += self._to_spread.add(news.entries)
-        if news.stage == Stage.GATHERED:
+        if news.stage == Stage.TO_HUB:
             self.dropped += self._to_cross.add(news.entries)
         return []
 
-    def tick(self, now_s: float, facts: Iterable[Fact] = ()) -> list[SendNews]:
+    def tick(
+        self, now_s: float, facts: Iterable[EndpointReport] = ()
+    ) -> list[SendNews]:
         """Return what is to be sent now.
 
         Parameters
@@ -227,7 +229,7 @@
             gathered = []
         else:
             hub = self._find_hub(self._zone)
-            gathered = self._make(own_news, Stage.GATHERED, [hub])
+            gathered = self._make(own_news, Stage.TO_HUB, [hub])
         return gathered + self._send_queued()
 
     def _find_hub(self, zone: str) -> str:
@@ -236,9 +238,9 @@
     def _send_queued(self) -> list[SendNews]:
         order = [self._own, *_without(self._orders[self._zone], self._own)]
         receivers = list_receivers(order, self._own)
-        spread = self._make(self._to_spread.take(), Stage.SPREAD, receivers)
+        spread = self._make(self._to_spread.take(), Stage.TO_ZONE, receivers)
         hubs = [self._find_hub(z) for z in sorted(self._orders) if z != self._zone]
-        crossing = self._make(self._to_cross.take(), Stage.CROSSING, hubs)
+        crossing = self._make(self._to_cross.take(), Stage.HUB_TO_HUB, hubs)
         return spread + crossing
 
     def _pass_on(self, news: News) -> list[SendNews]:
@@ -247,7 +249,7 @@
             return []
         order = [news.sender, *_without(order, news.sender)]
         receivers = list_receivers(order, self._own)
-        return self._make(news.entries, Stage.DELIVERED, receivers)
+        return self._make(news.entries, Stage.TO_ROUTER, receivers)
 
     def _make(
         self, entries: Iterable[Entry], stage: Stage, receivers: Sequence[str]
@@ -259,7 +261,7 @@
         ]
         return [SendNews(name, news) for news in batches for name in receivers]
 
-    def _take_own_news(self, now_s: float) -> list[Held]:
+    def _take_own_news(self, now_s: float) -> list[Holding]:
         """Return as much of this router's own news as its part allows.
 
         What others can't guess goes first; then the longest, as a long prefix that is
--- a/src/tamarackrill/decisions/poison.py
+++ b/src/tamarackrill/decisions/poison.py
@@ -12,7 +12,7 @@
 
 Counts are shared: each router tells its peers how many crashes it saw itself, and
 adds up what they say.  Nobody repeats the count of another, so that no count lives on
-by gossip alone.  The endpoints are not blamed: see `health.Health.forgive`.
+by gossip alone.  The endpoints are not blamed: see `health.Health.retract_crash`.
 """
 
 from collections import OrderedDict
--- a/src/tamarackrill/decisions/prefix_copies.py
+++ b/src/tamarackrill/decisions/prefix_copies.py
@@ -21,7 +21,7 @@
 
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.cache_index import HOLDERS_KEPT, CacheIndex
-from tamarackrill.decisions.placement_news import Held
+from tamarackrill.decisions.placement_news import Holding
 from tamarackrill.decisions.pools import RANK_SHORT, EndpointPool
 from tamarackrill.decisions.prompts import Prefix
 
@@ -65,7 +65,7 @@
 
     def record_send(
         self, prefixes: Sequence[Prefix], engine: str, now_s: float
-    ) -> list[Held]:
+    ) -> list[Holding]:
         """Remember that an engine reads a prompt; return what others should know.
 
         Of a prefix that as many engines hold as are remembered nothing is told: what
@@ -75,7 +75,7 @@
         for prefix in prefixes:
             holders = self._list_holders(prefix.key, now_s)
             if engine not in holders and len(holders) < HOLDERS_KEPT:
-                found.append(Held(engine, prefix.key, prefix.tokens))
+                found.append(Holding(engine, prefix.key, prefix.tokens))
             self._index.record_send(prefix.key, engine, prefix.tokens, now_s)
         return found
 
--- a/src/tamarackrill/decisions/reach.py
+++ b/src/tamarackrill/decisions/reach.py
@@ -24,7 +24,7 @@
 PAUSE_MAX_S = 0.8
 # Endpoints of the zone that are asked when one has failed: each that fails as well has
 # as many asked again, so that a hundred are known after four rounds.
-SUSPECTS_MAX = 3
+SAME_ZONE_PROBES_MAX = 3
 
 
 class _Mark(NamedTuple):
@@ -32,7 +32,7 @@
     pause_s: float
 
 
-class Reach:
+class Reachability:
     """Paths of one router that failed."""
 
     def __init__(self) -> None:
@@ -70,12 +70,12 @@
         for name in [name for name in self._marks if name not in kept]:
             del self._marks[name]
 
-    def find_doubtful(self, endpoints: Sequence[Endpoint]) -> set[str]:
+    def find_unreachable(self, endpoints: Sequence[Endpoint]) -> set[str]:
         """Return the names of those that are to be tried after all others."""
         return {e.name for e in endpoints if e.name in self._marks}
 
     @property
-    def doubtful(self) -> AbstractSet[str]:
+    def unreachable(self) -> AbstractSet[str]:
         """Names of all that are to be tried after all others."""
         return self._marks.keys()
 
@@ -87,7 +87,7 @@
             if (mark := self._marks.get(endpoint.name)) and mark.ask_s <= now_s
         ]
 
-    def list_suspects(
+    def list_same_zone(
         self, failed: Endpoint, endpoints: Sequence[Endpoint]
     ) -> list[Endpoint]:
         """Return endpoints near one that has failed, which may have failed too."""
@@ -96,9 +96,9 @@
             for endpoint in endpoints
             if endpoint.zone == failed.zone and endpoint.name not in self._marks
         ]
-        return near[:SUSPECTS_MAX]
+        return near[:SAME_ZONE_PROBES_MAX]
 
-    def list_elsewhere(
+    def list_other_zones(
         self, failed: Endpoint, endpoints: Sequence[Endpoint]
     ) -> list[Endpoint]:
         """Return an endpoint of each other zone than that of one that has failed.
--- a/src/tamarackrill/protocol/news_codec.py
+++ b/src/tamarackrill/protocol/news_codec.py
@@ -7,9 +7,9 @@
 from thriftpy2.protocol.compact import TCompactProtocol
 from thriftpy2.transport import TMemoryBuffer
 
-from tamarackrill.decisions.endpoint_news import Failures, Misplaced
+from tamarackrill.decisions.endpoint_news import FailureReport, MisplacedReport
 from tamarackrill.decisions.loads import EndpointLoad
-from tamarackrill.decisions.placement_news import Entry, Held, News, Stage
+from tamarackrill.decisions.placement_news import Entry, Holding, News, Stage
 from tamarackrill.protocol import structs
 from tamarackrill.protocol.codec import DIGEST_BYTES, need_text, sign, verify
 
@@ -46,8 +46,10 @@
             for engine, group in _group_by_engine(news.entries)
         ],
         full=[structs.FullEndpoint(*e) for e in _select(EndpointLoad, news.entries)],
-        failing=[structs.FailingEndpoint(*e) for e in _select(Failures, news.entries)],
-        misplaced=[e.endpoint for e in _select(Misplaced, news.entries)],
+        failing=[
+            structs.FailingEndpoint(*e) for e in _select(FailureReport, news.entries)
+        ],
+        misplaced=[e.endpoint for e in _select(MisplacedReport, news.entries)],
     )
     buffer = TMemoryBuffer()
     struct.write(TCompactProtocol(buffer))
@@ -64,7 +66,7 @@
         ]
         entries += [_read_full(item) for item in struct.full or ()]
         entries += [_read_failing(item) for item in struct.failing or ()]
-        entries += [Misplaced(need_text(name)) for name in struct.misplaced or ()]
+        entries += [MisplacedReport(need_text(name)) for name in struct.misplaced or ()]
         return News(need_text(struct.sender), Stage(struct.stage), tuple(entries))
     # The parser raises whatever the bytes lead it to; a peer of a later release must
     # not be able to end the task that reads the socket.
@@ -76,8 +78,8 @@
     return [entry for entry in entries if isinstance(entry, kind)]
 
 
-def _group_by_engine(entries: Iterable[Entry]) -> list[tuple[str, list[Held]]]:
-    ordered = sorted(_select(Held, entries), key=lambda held: held.engine)
+def _group_by_engine(entries: Iterable[Entry]) -> list[tuple[str, list[Holding]]]:
+    ordered = sorted(_select(Holding, entries), key=lambda held: held.engine)
     grouped = groupby(ordered, key=lambda held: held.engine)
     return [(engine, list(group)) for engine, group in grouped]
 
@@ -86,8 +88,8 @@
     return EndpointLoad(need_text(struct.endpoint), max(0, struct.in_flight + 0))
 
 
-def _read_failing(struct: Any) -> Failures:
-    return Failures(
+def _read_failing(struct: Any) -> FailureReport:
+    return FailureReport(
         need_text(struct.endpoint),
         struct.teller + 0,
         struct.sequence + 0,
@@ -95,13 +97,13 @@
     )
 
 
-def _read_holdings(struct: Any) -> list[Held]:
+def _read_holdings(struct: Any) -> list[Holding]:
     engine = need_text(struct.engine)
     if len(struct.keys) != _KEY_BYTES * len(struct.tokens):
         raise ValueError("not as many keys as tokens")
     starts = range(0, len(struct.keys), _KEY_BYTES)
     keys = [struct.keys[start : start + _KEY_BYTES].hex() for start in starts]
     return [
-        Held(engine, key, tokens + 0)
+        Holding(engine, key, tokens + 0)
         for key, tokens in zip(keys, struct.tokens, strict=True)
     ]
--- a/src/tamarackrill/router/cut_off.py
+++ b/src/tamarackrill/router/cut_off.py
@@ -47,9 +47,9 @@
         """Whether this router reaches no endpoint of some service."""
         return self._isolation.is_cut_off
 
-    def find_elsewhere_s(self) -> float | None:
+    def compute_failover_s(self) -> float | None:
         """Return when clients will be sent to other zones, if that is foreseen."""
-        return self._isolation.find_elsewhere_s(self._clock())
+        return self._isolation.compute_failover_s(self._clock())
 
     def list_witnesses(self) -> list[Endpoint]:
         """Return routers of other zones that are asked before a cut is believed."""
@@ -65,14 +65,14 @@
         reach = self._placer.reach
         # Without a path that has failed there is nothing to work out, and this is asked
         # four times a second, over thousands of endpoints in a large deployment.
-        if table is None or not (reach.doubtful or self.is_cut_off):
+        if table is None or not (reach.unreachable or self.is_cut_off):
             return False
         pools = [self._view.list_live(name) for name in table.services]
         witnesses = self.list_witnesses()
         known = [*self._view.list_endpoints(), *witnesses]
-        doubtful = reach.find_doubtful(known)
-        if not self._isolation.observe(pools, witnesses, doubtful, self._clock()):
+        unreachable = reach.find_unreachable(known)
+        if not self._isolation.observe(pools, witnesses, unreachable, self._clock()):
             return False
         event = ROUTER_CUT_OFF if self.is_cut_off else ROUTER_REJOINED
-        log_event(event, zone=self._zone, unreached=len(doubtful))
+        log_event(event, zone=self._zone, unreached=len(unreachable))
         return True
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -17,7 +17,7 @@
     ConfigurationStore,
     ObjectVersion,
 )
-from tamarackrill.decisions.endpoint_news import EndpointNews, hash_teller
+from tamarackrill.decisions.endpoint_news import EndpointNews, hash_reporter
 from tamarackrill.decisions.handing_on import HandOnBudget
 from tamarackrill.decisions.members import Entries, MemberRecord, MemberState
 from tamarackrill.decisions.membership import PeerHeard
@@ -142,19 +142,19 @@
         self.view = DeploymentView(READERS)
         # Above that of any earlier process of this name, as nothing is kept.
         self._session = int(time.time() * 1000)
-        self._endpoint_news = EndpointNews(hash_teller(settings.name), self._session)
+        self._endpoint_news = EndpointNews(hash_reporter(settings.name), self._session)
         self.placer = EdgePlacer(
             self.view,
             settings.zone,
             settings.load_cap,
             self._endpoint_news,
-            self._find_teller_zone,
+            self._find_reporter_zone,
         )
         address = peer_address or f"{settings.ip}:{settings.peer_port}"
         self.members = Members(
             Member(settings.name, address, settings.zone, peer_address=address)
         )
-        self._teller_zones: dict[int, str] = {}
+        self._reporter_zones: dict[int, str] = {}
         self._hand_on = HandOnBudget(settings.link_bytes_per_s)
         self._fleet_size = FleetSize()
         self.cut_off = CutOffWatch(
@@ -168,7 +168,7 @@
             self.metrics,
             self.clock,
         )
-        self.flow.find_elsewhere_s = self.cut_off.find_elsewhere_s
+        self.flow.compute_failover_s = self.cut_off.compute_failover_s
         self.server = EdgeServer(self.view, self.flow, self.metrics, self.clock)
 
     async def start(self, listener: socket.socket | None = None) -> None:
@@ -226,7 +226,7 @@
     def _count_endpoints(self) -> dict[str, float]:
         endpoints = self.view.list_endpoints()
         found: Counter[str] = Counter(endpoint.state for endpoint in endpoints)
-        found["unreached"] = len(self.placer.reach.find_doubtful(endpoints))
+        found["unreached"] = len(self.placer.reach.find_unreachable(endpoints))
         return dict(found)
 
     def _listen_routers(self) -> None:
@@ -325,8 +325,8 @@
     def _pull_placements(self, address: str) -> Awaitable[bytes]:
         return pull(self._router_client, address, PLACEMENTS_PATH, self._peer_keys)
 
-    def _find_teller_zone(self, teller: int) -> str | None:
-        return self._teller_zones.get(teller)
+    def _find_reporter_zone(self, reporter: int) -> str | None:
+        return self._reporter_zones.get(reporter)
 
     def _note_store(self, is_lost: bool) -> None:
         self.view.observe_store(is_lost, self.clock())
@@ -426,8 +426,8 @@
                 self.server.sends_elsewhere = self.cut_off.is_cut_off
             self._fleet_size.observe(len(self.members.list_live()), self.clock())
             self.store_news.take_members()
-            self._teller_zones = {
-                hash_teller(m.name): m.zone for m in self.members.list_live()
+            self._reporter_zones = {
+                hash_reporter(m.name): m.zone for m in self.members.list_live()
             }
             self.store_news.keep_telling()
             self._flush_log()
--- a/src/tamarackrill/router/edge_flow.py
+++ b/src/tamarackrill/router/edge_flow.py
@@ -65,7 +65,7 @@
         self.attempts = EdgeAttempts(
             placer, self._count_repeats_left, self._note_sent, metrics, clock
         )
-        self.find_elsewhere_s: Callable[[], float | None] = lambda: None
+        self.compute_failover_s: Callable[[], float | None] = lambda: None
 
     def count_repeats_left(self) -> dict[str, float]:
         """Return what this router may still repeat, by service; for metrics."""
@@ -216,7 +216,7 @@
                 call.request_id,
                 is_cut,
                 self._find_client_left_s(call),
-                self.find_elsewhere_s(),
+                self.compute_failover_s(),
             )
         else:
             is_late = self._clock() >= call.limit_s
--- a/src/tamarackrill/router/edge_placing.py
+++ b/src/tamarackrill/router/edge_placing.py
@@ -8,9 +8,9 @@
 from tamarackrill.decisions.cache_index import CacheIndex
 from tamarackrill.decisions.endpoint_news import (
     EndpointNews,
-    Fact,
-    Failures,
-    Misplaced,
+    EndpointReport,
+    FailureReport,
+    MisplacedReport,
 )
 from tamarackrill.decisions.engine_waits import EngineWaits, choose_priority
 from tamarackrill.decisions.fleet_health import FleetHealth
@@ -18,11 +18,11 @@
 from tamarackrill.decisions.incarnations import Incarnations
 from tamarackrill.decisions.loads import EndpointLoad
 from tamarackrill.decisions.misplaced import MisplacedEndpoints
-from tamarackrill.decisions.placement_news import Held
+from tamarackrill.decisions.placement_news import Holding
 from tamarackrill.decisions.poison import Poison
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.prefix_copies import COPY_TOKEN_MAX_S, PrefixCopies
-from tamarackrill.decisions.reach import Reach
+from tamarackrill.decisions.reach import Reachability
 from tamarackrill.decisions.routing import Choice, Placement, PlacementRequest
 from tamarackrill.events import (
     ENDPOINT_EJECTED,
@@ -126,7 +126,7 @@
         )
         self.health = Health()
         self.poison = Poison()
-        self.reach = Reach()
+        self.reach = Reachability()
         self.copies = PrefixCopies(self.index)
         self.waits = EngineWaits()
         self.misplaced = MisplacedEndpoints()
@@ -138,7 +138,7 @@
         self._told_s: dict[str, float] = {}
         self.list_endpoints = view.list_endpoints
         self.list_witnesses: Callable[[], list[Endpoint]] = list
-        self.tell: Callable[[list[Held], bool], None] = lambda found, expected: None
+        self.tell: Callable[[list[Holding], bool], None] = lambda found, expected: None
 
     def choose(
         self,
@@ -206,7 +206,7 @@
 
     def _find_barred(self, avoid: Collection[str], now_s: float) -> set[str]:
         """Return the endpoints that can't serve a request now."""
-        return {*self.reach.doubtful, *self.misplaced.find(now_s), *avoid}
+        return {*self.reach.unreachable, *self.misplaced.find(now_s), *avoid}
 
     def has_endpoint(
         self, call: EdgeCall, avoid: Collection[str], now_s: float
@@ -241,21 +241,21 @@
         A request for endpoints none of which can be reached is refused at once: it
         would only wait for one timeout after the other, as those before it did.
         """
-        doubtful = self._find_barred(avoid, now_s)
-        unsound = doubtful | self.health.find_kept_out(pool.by_name, now_s)
+        unreachable = self._find_barred(avoid, now_s)
+        unsound = unreachable | self.health.find_excluded(pool.by_name, now_s)
         unsound |= self._find_failing(call.service, pool, now_s)
         suspected = unsound | self.poison.find_avoided(call.fingerprint, now_s)
-        return [pool.leave_out(names) for names in (suspected, unsound, doubtful)]
+        return [pool.leave_out(names) for names in (suspected, unsound, unreachable)]
 
     def _find_failing(self, service: str, pool: EndpointPool, now_s: float) -> set[str]:
-        if self.fleet_health.is_quiet:
+        if self.fleet_health.has_no_failures:
             return set()
         if now_s >= self._judged_s.get(service, -math.inf) + JUDGE_EVERY_S:
             self._judged_s[service] = now_s
             self._judge(service, pool, now_s)
         slots = {name: endpoint.slots for name, endpoint in pool.by_name.items()}
         in_flight = self.placement.loads.summarize(slots, now_s).total
-        return self.fleet_health.find_left_out(slots, in_flight, now_s)
+        return self.fleet_health.find_paused(slots, in_flight, now_s)
 
     def _judge(self, service: str, pool: EndpointPool, now_s: float) -> None:
         known = self.fleet_health.describe(pool.by_name, now_s)
@@ -338,14 +338,14 @@
         if self._take_misplaced(endpoint.name, "answer", now_s):
             self._news.observe_misplaced(endpoint.name)
 
-    def take_facts(self, facts: list[Fact], now_s: float) -> None:
+    def take_facts(self, facts: list[EndpointReport], now_s: float) -> None:
         """Take what routers tell of endpoints."""
         loads = [fact for fact in facts if isinstance(fact, EndpointLoad)]
         self.placement.loads.observe_news(loads, now_s)
         for fact in facts:
-            if isinstance(fact, Failures):
+            if isinstance(fact, FailureReport):
                 self.fleet_health.observe(fact, now_s)
-            elif isinstance(fact, Misplaced):
+            elif isinstance(fact, MisplacedReport):
                 self._take_misplaced(fact.endpoint, "news", now_s)
 
     def _take_misplaced(self, name: str, source: str, now_s: float) -> bool:
--- a/src/tamarackrill/router/paths.py
+++ b/src/tamarackrill/router/paths.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from tamarackrill.contracts import Endpoint
-from tamarackrill.decisions.reach import Reach
+from tamarackrill.decisions.reach import Reachability
 from tamarackrill.events import ENDPOINT_REACHED, ENDPOINT_UNREACHED, log_event
 from tamarackrill.router.background import log_failure
 from tamarackrill.router.channels import open_channel
@@ -15,7 +15,7 @@
 
 
 class Paths:
-    """Keeps `Reach` up to date.
+    """Keeps `Reachability` up to date.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        reach: Reach,
+        reach: Reachability,
         list_endpoints: Callable[[], list[Endpoint]],
         list_witnesses: Callable[[], list[Endpoint]],
         drop_idle: Callable[[str], None],
@@ -61,8 +61,8 @@
         # One that refuses connections has ended; its neighbours need not have.
         if not isinstance(error, ConnectionRefusedError):
             endpoints = self._list_endpoints()
-            suspects = self._reach.list_suspects(endpoint, endpoints)
-            suspects += self._reach.list_elsewhere(endpoint, endpoints)
+            suspects = self._reach.list_same_zone(endpoint, endpoints)
+            suspects += self._reach.list_other_zones(endpoint, endpoints)
             suspects += self._list_witnesses()
             for suspect in suspects:
                 self.ask(suspect)
@@ -74,7 +74,7 @@
 
     def ask_due(self) -> None:
         """Ask those whose pause is over."""
-        if not self._reach.doubtful:
+        if not self._reach.unreachable:
             return
         endpoints = [*self._list_endpoints(), *self._list_witnesses()]
         for endpoint in self._reach.list_due(endpoints, self._clock()):
--- a/src/tamarackrill/router/placement_telling.py
+++ b/src/tamarackrill/router/placement_telling.py
@@ -4,10 +4,14 @@
 from collections.abc import Awaitable, Callable
 
 from tamarackrill.decisions.cache_index import CacheIndex
-from tamarackrill.decisions.endpoint_news import EndpointNews, Fact, Failures
+from tamarackrill.decisions.endpoint_news import (
+    EndpointNews,
+    EndpointReport,
+    FailureReport,
+)
 from tamarackrill.decisions.placement_news import (
     TICK_S,
-    Held,
+    Holding,
     News,
     PlacementNews,
     SendNews,
@@ -71,7 +75,7 @@
         news: PlacementNews,
         endpoint_news: EndpointNews,
         index: CacheIndex,
-        take_facts: Callable[[list[Fact]], None],
+        take_facts: Callable[[list[EndpointReport]], None],
         members: Members,
         send: Callable[[str, bytes], None],
         pull: Pull,
@@ -104,7 +108,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def tell(self, found: list[Held], is_expected: bool) -> None:
+    def tell(self, found: list[Holding], is_expected: bool) -> None:
         """Take what this router has found out itself; see `PlacementNews.tell`."""
         now_s = self._clock()
         for held in found:
@@ -113,8 +117,10 @@
     def encode_known(self) -> bytes:
         """Return what this router knows, for one that has just started."""
         found = self._index.list_newest(LEARNED_MAX, self._clock())
-        entries = tuple(Held(h.endpoint, key, h.tokens) for key, h in reversed(found))
-        return write_news(News(self._members.own.name, Stage.DELIVERED, entries))
+        entries = tuple(
+            Holding(h.endpoint, key, h.tokens) for key, h in reversed(found)
+        )
+        return write_news(News(self._members.own.name, Stage.TO_ROUTER, entries))
 
     def take_datagram(self, datagram: bytes, source: str) -> bool:
         """Take a datagram; return whether it held news of placements."""
@@ -123,14 +129,14 @@
             return False
         self._metrics.count("placements_heard", by=len(news.entries))
         self._take_news(news)
-        self._act(self._news.hear(news))
+        self._act(self._news.receive(news))
         return True
 
     def _take_news(self, news: News) -> None:
         now_s = self._clock()
-        facts: list[Fact] = []
+        facts: list[EndpointReport] = []
         for entry in news.entries:
-            if isinstance(entry, Held):
+            if isinstance(entry, Holding):
                 self._index.record_send(entry.key, entry.engine, entry.tokens, now_s)
             else:
                 facts.append(entry)
@@ -144,7 +150,9 @@
             self._news.set_members(live)
             facts = self._endpoint_news.take()
             # Of loads and addresses this router knows what it tells.
-            self._take_facts([fact for fact in facts if isinstance(fact, Failures)])
+            self._take_facts(
+                [fact for fact in facts if isinstance(fact, FailureReport)]
+            )
             self._act(self._news.tick(self._clock(), facts))
 
     def _act(self, actions: list[SendNews]) -> None:
--- a/src/tamarackrill/router/placing.py
+++ b/src/tamarackrill/router/placing.py
@@ -173,7 +173,7 @@
         fingerprint = shorten_fingerprint(call.fingerprint)
         self.poison.check(fingerprint, now_s)
         names = [endpoint.name for endpoint in allowed]
-        shares = self.health.find_shares(names, now_s)
+        shares = self.health.find_slow_start_shares(names, now_s)
         request = _make_request(call, self._zone)
         suspected = self.poison.find_avoided(fingerprint, now_s).union(refused)
         choice = self.placement.choose(request, allowed, now_s, shares, suspected)
@@ -317,7 +317,7 @@
         self.tell_crash(CrashCount(fingerprint, len(crashed)))
         if len(crashed) >= CRASHES_MAX:
             for name in crashed:
-                self.health.forgive(name, now_s)
+                self.health.retract_crash(name, now_s)
 
 
 def _make_request(call: Call, zone: str) -> PlacementRequest:
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -6,7 +6,7 @@
 
 from tamarackrill.decisions import engine_waits, waits
 from tamarackrill.decisions.configuration import ConfigurationDigest
-from tamarackrill.decisions.endpoint_news import Failures
+from tamarackrill.decisions.endpoint_news import FailureReport
 from tamarackrill.router import configuring, edge_app
 from tamarackrill.testing.edge import (
     KEY,
@@ -591,8 +591,10 @@
         router = await fleet.add_router()
         answer = await ask(router.settings.callers_address, "/chat/a")
         assert answer.is_whole
-        waiting = [f for f in router._endpoint_news.take() if isinstance(f, Failures)]
-        was_told = bool(waiting) or not router.placer.fleet_health.is_quiet
+        waiting = [
+            f for f in router._endpoint_news.take() if isinstance(f, FailureReport)
+        ]
+        was_told = bool(waiting) or not router.placer.fleet_health.has_no_failures
         assert was_told is is_told
 
     play(act)
--- a/tests/test_endpoint_news.py
+++ b/tests/test_endpoint_news.py
@@ -7,11 +7,11 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.endpoint_news import (
     FAILED_MAX,
-    FAILURES_TOLD_MAX,
+    FAILURES_REPORTED_MAX,
     EndpointNews,
-    Failures,
-    Misplaced,
-    hash_teller,
+    FailureReport,
+    MisplacedReport,
+    hash_reporter,
 )
 from tamarackrill.decisions.loads import NEWS_KEPT_S, EndpointLoad, Loads
 from tamarackrill.decisions.placement_news import (
@@ -50,9 +50,9 @@
     news = EndpointNews(7, 100)
     for _ in range(3):
         news.observe_failure("e")
-    assert news.take() == [Failures("e", 7, 101, 3)]
+    assert news.take() == [FailureReport("e", 7, 101, 3)]
     news.observe_failure("e")
-    assert news.take() == [Failures("e", 7, 102, 1)]
+    assert news.take() == [FailureReport("e", 7, 102, 1)]
 
 
 def test_what_is_told_is_bounded():
@@ -63,18 +63,18 @@
         for _ in range(300):
             news.observe_failure(f"e{number}")
     told = news.take()
-    assert len(told) == FAILURES_TOLD_MAX
+    assert len(told) == FAILURES_REPORTED_MAX
     assert {fact.failed for fact in told} == {FAILED_MAX}
 
 
-def test_teller_fits_into_the_field_of_its_message():
-    assert all(0 <= hash_teller(f"router-{n}") < 2**31 for n in range(1000))
+def test_reporter_fits_into_the_field_of_its_message():
+    assert all(0 <= hash_reporter(f"router-{n}") < 2**31 for n in range(1000))
 
 
 def test_misplaced_endpoint_is_told():
     news = EndpointNews(1, 0)
     news.observe_misplaced("e")
-    assert news.take() == [Misplaced("e")]
+    assert news.take() == [MisplacedReport("e")]
 
 
 def test_router_passes_on_the_last_word_of_the_fullest_endpoints():
@@ -135,7 +135,7 @@
             self.placements[name] = Placement(1.5, slack=2)
             self.relays[name] = PlacementNews(name, zone)
             self.relays[name].set_members(members)
-            self.news[name] = EndpointNews(hash_teller(name), 0)
+            self.news[name] = EndpointNews(hash_reporter(name), 0)
         self.above = self.sent = 0
 
     def send(self, session, now_s):
@@ -177,7 +177,7 @@
         for action in actions:
             loads = self.placements[action.router].loads
             loads.observe_news(action.news.entries, now_s)
-            self.deliver(self.relays[action.router].hear(action.news), now_s)
+            self.deliver(self.relays[action.router].receive(action.news), now_s)
 
 
 def play(has_news, seed, routers=76, engines=45, calls_per_s=280.0, play_s=8.0):
--- a/tests/test_failure_clusters.py
+++ b/tests/test_failure_clusters.py
@@ -7,8 +7,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tamarackrill.decisions.endpoint_news import Failures
-from tamarackrill.decisions.failure_clusters import FAILED_MIN, Failed, find_failing
+from tamarackrill.decisions.endpoint_news import FailureReport
+from tamarackrill.decisions.failure_clusters import (
+    FAILED_MIN,
+    FailureCounts,
+    find_failing,
+)
 from tamarackrill.decisions.fleet_health import FleetHealth
 
 SLOTS = 12
@@ -44,22 +48,22 @@
         while self.now_s < until_s:
             self.now_s += STEP_S
             self.ever_paused.update(self._health.pause_failing(self.pool, self.now_s))
-            left_out = self.find_left_out()
+            left_out = self.find_paused()
             self.ever_left_out |= left_out
             self.most_left_out = max(self.most_left_out, len(left_out))
             takers = [name for name in self.pool if name not in left_out]
             for _ in range(round(REQUESTS_PER_S * len(self.pool) * STEP_S)):
                 self._send(self._chance.choice(takers))
 
-    def find_left_out(self):
-        return self._health.find_left_out(self.pool, self.in_flight, self.now_s)
+    def find_paused(self):
+        return self._health.find_paused(self.pool, self.in_flight, self.now_s)
 
     def _send(self, name):
         self.sent += 1
         if name in self.failing and self._chance.random() < self._share:
             self.failed += 1
             teller = self._chance.randrange(self._senders)
-            self._health.observe(Failures(name, teller, self.sent, 1), self.now_s)
+            self._health.observe(FailureReport(name, teller, self.sent, 1), self.now_s)
 
 
 # Endpoints, and those of them that fail: a third, a half, two thirds, nine in ten.
@@ -122,8 +126,8 @@
     play = Play(endpoints, failing, GREY, 195, 6, int(filled * endpoints * SLOTS))
     for _ in range(40):
         play.run(STEP_S)
-        left = SLOTS * (endpoints - len(play.find_left_out()))
-        assert not play.find_left_out() or 2 * play.in_flight <= left
+        left = SLOTS * (endpoints - len(play.find_paused()))
+        assert not play.find_paused() or 2 * play.in_flight <= left
 
 
 def test_one_of_two_endpoints_that_fails_loses_its_work():
@@ -142,7 +146,7 @@
     health.observe_endpoints(pool, 100.0)
     for number, name in enumerate(old):
         for teller in range(6):
-            health.observe(Failures(name, teller, number, 2), 100.5)
+            health.observe(FailureReport(name, teller, number, 2), 100.5)
     assert health.pause_failing(pool, 100.6) == []
 
 
@@ -151,24 +155,24 @@
     health = FleetHealth(lambda teller: "z0", "z0")
     pool = {f"e{number}": SLOTS for number in range(4)}
     for teller in range(6):
-        health.observe(Failures("e0", teller, 0, 3), 0.0)
+        health.observe(FailureReport("e0", teller, 0, 3), 0.0)
     assert health.pause_failing(pool, 0.1) == ["e0"]
     for name in ("e1", "e2", "e3"):
         for teller in range(6):
-            health.observe(Failures(name, teller, 1, 3), 2.7)
-    assert not health.find_left_out(pool, 0, 2.7)
+            health.observe(FailureReport(name, teller, 1, 3), 2.7)
+    assert not health.find_paused(pool, 0, 2.7)
     assert health.pause_failing(pool, 2.8) == []
 
 
-COUNTS = st.integers(0, 200).map(lambda count: Failed(count, count))
+COUNTS = st.integers(0, 200).map(lambda count: FailureCounts(count, count))
 
 
 @given(st.dictionaries(st.integers(0, 99).map(str), COUNTS, max_size=40))
 def test_what_fails_has_failed_often_and_more_than_all_others(failed):
     found = find_failing(failed)
-    least = min((failed[name].believed for name in found), default=math.inf)
+    least = min((failed[name].accepted for name in found), default=math.inf)
     assert least >= FAILED_MIN
-    assert all(failed[name].believed < least for name in failed.keys() - found)
+    assert all(failed[name].accepted < least for name in failed.keys() - found)
     assert not found or found != failed.keys()
 
 
--- a/tests/test_fleet_health.py
+++ b/tests/test_fleet_health.py
@@ -6,13 +6,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tamarackrill.decisions.endpoint_news import Failures
+from tamarackrill.decisions.endpoint_news import FailureReport
 from tamarackrill.decisions.fleet_health import (
     FAILED_MIN,
     PAUSE_MAX_S,
     PAUSE_MIN_S,
     RELAPSE_S,
-    TELLER_MAX,
+    REPORTER_FAILURES_MAX,
     WINDOW_S,
     FleetHealth,
 )
@@ -28,12 +28,12 @@
 
 def tell(health, endpoint, tellers, failed=2, now_s=0.0, sequence=1):
     for teller in tellers:
-        health.observe(Failures(endpoint, teller, sequence, failed), now_s)
+        health.observe(FailureReport(endpoint, teller, sequence, failed), now_s)
 
 
-def find_left_out(health, now_s=0.1, pool=POOL, in_flight=5):
+def find_paused(health, now_s=0.1, pool=POOL, in_flight=5):
     health.pause_failing(pool, now_s)
-    return health.find_left_out(pool, in_flight, now_s)
+    return health.find_paused(pool, in_flight, now_s)
 
 
 def test_endpoint_that_fails_for_several_routers_gets_no_work():
@@ -41,7 +41,7 @@
     # its failures; each would send it three more before it believed itself.
     health = make_health()
     tell(health, "e1", (0, 1, 2), 2)
-    assert find_left_out(health) == {"e1"}
+    assert find_paused(health) == {"e1"}
 
 
 def test_router_that_fails_everywhere_has_nothing_left_out():
@@ -50,10 +50,10 @@
     health = make_health()
     for name in POOL:
         tell(health, name, (0,), 100)
-    assert find_left_out(health) == set()
+    assert find_paused(health) == set()
     tell(health, "e1", (1,), 1, sequence=3)
-    assert find_left_out(health) == set()
-    assert TELLER_MAX < FAILED_MIN
+    assert find_paused(health) == set()
+    assert REPORTER_FAILURES_MAX < FAILED_MIN
 
 
 def test_failures_that_all_endpoints_share_leave_none_out():
@@ -62,7 +62,7 @@
     health = make_health()
     for name in POOL:
         tell(health, name, (0, 1, 2), 5)
-    assert find_left_out(health) == set()
+    assert find_paused(health) == set()
 
 
 def test_failures_of_paths_that_each_zone_asks_its_own_endpoints_for_are_usual():
@@ -74,21 +74,21 @@
     tell(health, "e1", (0, 1, 2), 2)
     tell(health, "e2", (10, 11, 12), 2)
     tell(health, "e3", (20, 21), 3)
-    assert find_left_out(health, pool=pool, in_flight=1) == set()
+    assert find_paused(health, pool=pool, in_flight=1) == set()
 
 
 def test_what_is_told_twice_counts_once():
     health = make_health()
     for _ in range(9):
         tell(health, "e1", (0, 1), 1)
-    assert find_left_out(health) == set()
+    assert find_paused(health) == set()
 
 
 def test_old_failures_are_not_added_to_new_ones():
     health = make_health()
     tell(health, "e1", (0, 1), 1, now_s=0.0, sequence=1)
     tell(health, "e1", (0, 1), 1, now_s=WINDOW_S + 0.1, sequence=2)
-    assert find_left_out(health, WINDOW_S + 0.2) == set()
+    assert find_paused(health, WINDOW_S + 0.2) == set()
 
 
 def test_endpoint_that_fails_callers_of_one_zone_only_is_left_out_there_alone():
@@ -96,15 +96,15 @@
     # it, and must not lose it.
     health = make_health()
     tell(health, "e1", (10, 11, 12), 3)
-    assert find_left_out(health) == set()
+    assert find_paused(health) == set()
     tell(health, "e1", (20, 21), 3)
-    assert find_left_out(health) == {"e1"}
+    assert find_paused(health) == {"e1"}
 
 
 def test_tellers_that_nobody_knows_do_not_count():
     health = make_health()
     tell(health, "e1", (777, 778, 779), 3)
-    assert find_left_out(health) == set()
+    assert find_paused(health) == set()
 
 
 @pytest.mark.parametrize(("in_flight", "count"), [(5, 2), (22, 1), (60, 0)])
@@ -114,39 +114,39 @@
     health = make_health()
     for name in ("e1", "e2"):
         tell(health, name, (0, 1, 2), 9)
-    assert len(find_left_out(health, in_flight=in_flight)) == count
+    assert len(find_paused(health, in_flight=in_flight)) == count
 
 
 def test_last_endpoint_is_never_left_out():
     health = make_health()
     tell(health, "e1", (0, 1, 2), 9)
-    assert find_left_out(health, pool={"e1": 10}, in_flight=0) == set()
+    assert find_paused(health, pool={"e1": 10}, in_flight=0) == set()
 
 
 def test_endpoint_gets_work_again_after_a_pause_that_doubles_when_it_relapses():
     health = make_health()
     tell(health, "e1", (0, 1), 3)
-    assert find_left_out(health, 0.1) == {"e1"}
-    assert find_left_out(health, 0.1 + PAUSE_MIN_S) == set()
+    assert find_paused(health, 0.1) == {"e1"}
+    assert find_paused(health, 0.1 + PAUSE_MIN_S) == set()
     tell(health, "e1", (0, 1), 3, now_s=3.0, sequence=2)
-    assert find_left_out(health, 3.0) == {"e1"}
-    assert find_left_out(health, 3.0 + 1.9 * PAUSE_MIN_S) == {"e1"}
-    assert find_left_out(health, 3.0 + 2 * PAUSE_MIN_S) == set()
+    assert find_paused(health, 3.0) == {"e1"}
+    assert find_paused(health, 3.0 + 1.9 * PAUSE_MIN_S) == {"e1"}
+    assert find_paused(health, 3.0 + 2 * PAUSE_MIN_S) == set()
     later_s = 3.0 + 2 * PAUSE_MIN_S + RELAPSE_S + 0.1
-    assert find_left_out(health, later_s) == set()
+    assert find_paused(health, later_s) == set()
     tell(health, "e1", (0, 1), 3, now_s=later_s, sequence=3)
-    assert find_left_out(health, later_s) == {"e1"}
-    assert find_left_out(health, later_s + PAUSE_MIN_S) == set()
+    assert find_paused(health, later_s) == {"e1"}
+    assert find_paused(health, later_s + PAUSE_MIN_S) == set()
 
 
 def test_endpoint_that_has_started_anew_is_trusted():
     health = make_health()
     tell(health, "e1", (0, 1), 3)
-    assert find_left_out(health) == {"e1"}
+    assert find_paused(health) == {"e1"}
     health.remove("e1")
-    assert find_left_out(health) == set()
+    assert find_paused(health) == set()
     health.retain({"e2"})
-    assert health.is_quiet
+    assert health.has_no_failures
 
 
 def test_losses_by_chance_leave_nobody_out():
@@ -161,7 +161,7 @@
             for teller in ZONES:
                 if chance.random() < 0.05 * 0.25 * 8 / len(ZONES):
                     tell(health, name, (teller,), 1, now_s, tick)
-        left_out += len(find_left_out(health, now_s))
+        left_out += len(find_paused(health, now_s))
     assert left_out == 0
 
 
@@ -182,7 +182,7 @@
     )
     def tell(self, endpoint, teller, failed):
         self.sequence += 1
-        self.told.append(Failures(endpoint, teller, self.sequence, failed))
+        self.told.append(FailureReport(endpoint, teller, self.sequence, failed))
         self.health.observe(self.told[-1], self.now_s)
 
     @rule(data=st.data())
@@ -200,13 +200,13 @@
     @rule(endpoint=st.sampled_from(sorted(POOL)))
     def restart(self, endpoint):
         self.health.remove(endpoint)
-        assert endpoint not in self.health.find_left_out(POOL, 0, self.now_s)
+        assert endpoint not in self.health.find_paused(POOL, 0, self.now_s)
 
     @invariant()
     def some_endpoint_is_left(self):
         self.health.pause_failing(POOL, self.now_s)
         for in_flight in (0, 10, 30):
-            left_out = self.health.find_left_out(POOL, in_flight, self.now_s)
+            left_out = self.health.find_paused(POOL, in_flight, self.now_s)
             assert len(left_out) < len(POOL)
             left = sum(s for n, s in POOL.items() if n not in left_out)
             assert not left_out or in_flight <= left
@@ -214,7 +214,7 @@
     @invariant()
     def pauses_end(self):
         late_s = self.now_s + PAUSE_MAX_S + 0.1
-        assert self.health.find_left_out(POOL, 0, late_s) == set()
+        assert self.health.find_paused(POOL, 0, late_s) == set()
 
 
 TestFleetHealth = FleetHealthMachine.TestCase
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize(
     ("answer", "most"),
-    [(slow_engine, h.SAMPLES_MIN), (failing_engine, h.FAILURES_IN_A_ROW)],
+    [(slow_engine, h.SAMPLES_MIN), (failing_engine, h.CONSECUTIVE_FAILURES)],
 )
 def test_few_callers_meet_a_bad_endpoint(answer, most):
     # One engine of five answers thirty times slower than the others, or with errors.
@@ -92,7 +92,7 @@
     assert all(b - a >= h.PROBE_EVERY_S for a, b in zip(sent, sent[1:], strict=False))
     run_probes(health, lambda *_: 0.1, 40.0, 50.0)
     assert "engine-1" in health.find_allowed(POOL, 50.0)
-    assert 0.0 < health.find_shares(POOL, 44.0)["engine-1"] < 1.0
+    assert 0.0 < health.find_slow_start_shares(POOL, 44.0)["engine-1"] < 1.0
 
 
 def test_recovery_needs_a_clearer_answer_than_ejection():
@@ -127,8 +127,8 @@
     health = Health()
     for name in POOL:
         health.observe_present(name, 0.0)
-    assert health.find_shares(POOL, 0.0) == {}
+    assert health.find_slow_start_shares(POOL, 0.0) == {}
     health.observe_absent("engine-1", 50.0)
     health.observe_present("engine-1", 52.0)
-    assert health.find_shares(POOL, 52.0) == {"engine-1": h.SLOW_START_SHARE}
-    assert health.find_shares(POOL, 52.0 + h.SLOW_START_S) == {}
+    assert health.find_slow_start_shares(POOL, 52.0) == {"engine-1": h.SLOW_START_SHARE}
+    assert health.find_slow_start_shares(POOL, 52.0 + h.SLOW_START_S) == {}
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -2,7 +2,7 @@
 
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.isolation import (
-    BALANCER_NOTICES_S,
+    BALANCER_DETECTION_S,
     WITNESSES_PER_ZONE,
     Isolation,
     choose_witnesses,
@@ -68,16 +68,16 @@
 
 @pytest.mark.parametrize("pools", [[], [[]], [make_pool("writer", "b")]])
 def test_too_little_is_known_to_tell_a_cut(pools):
-    doubtful = {endpoint.name for pool in pools for endpoint in pool}
-    assert not is_isolated("a", pools, [], doubtful)
+    unreachable = {endpoint.name for pool in pools for endpoint in pool}
+    assert not is_isolated("a", pools, [], unreachable)
 
 
 def test_cut_is_told_once_and_its_end_once():
     isolation = Isolation("a")
     seen = [(POOLS, set()), (POOLS, OUTSIDE), (POOLS, OUTSIDE), (POOLS, set())]
     changes = [
-        isolation.observe(pools, WITNESSES, doubtful, now_s)
-        for now_s, (pools, doubtful) in enumerate(seen)
+        isolation.observe(pools, WITNESSES, unreachable, now_s)
+        for now_s, (pools, unreachable) in enumerate(seen)
     ]
     assert changes == [False, True, False, True]
     assert not isolation.is_cut_off
@@ -87,7 +87,9 @@
     # A client that comes back earlier reaches a router of the same zone, is refused
     # again, and has no attempt left; one that comes back much later is late.
     isolation = Isolation("a")
-    assert isolation.find_elsewhere_s(1.0) is None
+    assert isolation.compute_failover_s(1.0) is None
     isolation.observe(POOLS, WITNESSES, OUTSIDE, 1.0)
-    assert isolation.find_elsewhere_s(1.5) == pytest.approx(BALANCER_NOTICES_S - 0.5)
-    assert isolation.find_elsewhere_s(60.0) == 0.0
+    assert isolation.compute_failover_s(1.5) == pytest.approx(
+        BALANCER_DETECTION_S - 0.5
+    )
+    assert isolation.compute_failover_s(60.0) == 0.0
--- a/tests/test_news_codec.py
+++ b/tests/test_news_codec.py
@@ -4,12 +4,12 @@
 from thriftpy2.protocol.compact import TCompactProtocol
 from thriftpy2.transport import TMemoryBuffer
 
-from tamarackrill.decisions.endpoint_news import Failures, Misplaced
+from tamarackrill.decisions.endpoint_news import FailureReport, MisplacedReport
 from tamarackrill.decisions.loads import EndpointLoad
 from tamarackrill.decisions.placement_news import (
     BATCH_MAX,
     ENTRY_BYTES,
-    Held,
+    Holding,
     News,
     Stage,
 )
@@ -17,12 +17,12 @@
 from tamarackrill.protocol.news_codec import decode_news, encode_news, read_news
 
 KEYS = ("a key", "an older key")
-HELD = Held("i-7f3a91c2d4", "00ff7f80c3a9e282", 9000)
-NEWS = News("edge-caerdydd-a-1", Stage.SPREAD, (HELD,))
+HELD = Holding("i-7f3a91c2d4", "00ff7f80c3a9e282", 9000)
+NEWS = News("edge-caerdydd-a-1", Stage.TO_ZONE, (HELD,))
 UDP_PAYLOAD_MAX_BYTES = 1_400
 
 helds = st.builds(
-    Held,
+    Holding,
     st.sampled_from(["i-1", "i-2", "i-3"]),
     st.binary(min_size=8, max_size=8).map(bytes.hex),
     st.integers(0, 2**31 - 1),
@@ -42,19 +42,19 @@
         EndpointLoad, st.text(min_size=1, max_size=20), st.integers(0, 2**31 - 1)
     ),
     st.builds(
-        Failures,
+        FailureReport,
         st.text(min_size=1, max_size=20),
         st.integers(0, 2**31 - 1),
         st.integers(0, 2**62),
         st.integers(0, 127),
     ),
-    st.builds(Misplaced, st.text(min_size=1, max_size=20)),
+    st.builds(MisplacedReport, st.text(min_size=1, max_size=20)),
 )
 
 
 @given(st.lists(st.one_of(helds, facts), max_size=20).map(tuple))
 def test_news_of_endpoints_comes_back(entries):
-    news = News("router", Stage.SPREAD, entries)
+    news = News("router", Stage.TO_ZONE, entries)
     found = decode_news(encode_news(news, KEYS), KEYS)
     assert sorted(map(repr, found.entries)) == sorted(map(repr, entries))
 
@@ -65,15 +65,15 @@
     struct.full = struct.failing = struct.misplaced = None
     buffer = TMemoryBuffer()
     struct.write(TCompactProtocol(buffer))
-    assert read_news(bytes(buffer.getvalue())) == News("r", Stage.GATHERED, ())
+    assert read_news(bytes(buffer.getvalue())) == News("r", Stage.TO_HUB, ())
 
 
 @pytest.mark.parametrize(
     "fact",
     [
         EndpointLoad("i-7f3a91c2d4", 2**20),
-        Failures("i-7f3a91c2d4", 2**31 - 1, 2**42, 127),
-        Misplaced("i-7f3a91c2d4"),
+        FailureReport("i-7f3a91c2d4", 2**31 - 1, 2**42, 127),
+        MisplacedReport("i-7f3a91c2d4"),
     ],
 )
 def test_fact_takes_no_more_than_an_entry(fact):
--- a/tests/test_placement_news.py
+++ b/tests/test_placement_news.py
@@ -15,7 +15,7 @@
     KEPT_S,
     QUEUE_MAX,
     TICK_S,
-    Held,
+    Holding,
     News,
     PlacementNews,
     Stage,
@@ -23,11 +23,11 @@
 )
 
 ZONES = ("hall-a", "hall-b", "hall-c")
-HELD = Held("engine-1", "0123456789abcdef", 9000)
+HELD = Holding("engine-1", "0123456789abcdef", 9000)
 
 
 def make_held(number, tokens=1000):
-    return Held("engine-1", f"{number:016x}", tokens)
+    return Holding("engine-1", f"{number:016x}", tokens)
 
 
 class Fleet:
@@ -68,7 +68,7 @@
                 continue
             self.received[receiver] += 1
             self.heard[receiver].update(action.news.entries)
-            self.deliver(receiver, self.routers[receiver].hear(action.news))
+            self.deliver(receiver, self.routers[receiver].receive(action.news))
 
 
 @pytest.mark.parametrize("counts", [(1,), (2,), (3, 1, 2), (15, 15, 15), (46, 2, 1)])
@@ -141,8 +141,8 @@
     )
     old = sorted(n for n in fleet.routers if n.startswith("hall-a") and n != hub)
     old_hub, teller = old[0], old[1]
-    news = News(teller, Stage.GATHERED, (HELD,))
-    fleet.deliver(old_hub, fleet.routers[old_hub].hear(news))
+    news = News(teller, Stage.TO_HUB, (HELD,))
+    fleet.deliver(old_hub, fleet.routers[old_hub].receive(news))
     fleet.heard[old_hub].add(HELD)
     fleet.heard[teller].add(HELD)
     for _ in range(3):
@@ -192,9 +192,11 @@
     for number in range(QUEUE_MAX + 10):
         own.tell(make_held(number), False, 0.0)
     assert own.dropped == 10
-    own.hear(News("b", Stage.CROSSING, tuple(map(make_held, range(2 * QUEUE_MAX)))))
+    own.receive(
+        News("b", Stage.HUB_TO_HUB, tuple(map(make_held, range(2 * QUEUE_MAX))))
+    )
     own.set_members([("hall-a-1", "hall-a")])
-    spread = [a for a in own.tick(0.0) if a.news.stage == Stage.SPREAD]
+    spread = [a for a in own.tick(0.0) if a.news.stage == Stage.TO_ZONE]
     assert sum(len(action.news.entries) for action in spread) <= 2 * QUEUE_MAX
     assert max(len(action.news.entries) for action in spread) <= BATCH_MAX
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -35,7 +35,7 @@
         crashed = self.poison.find_crashed(fingerprint, now_s)
         if len(crashed) >= p.CRASHES_MAX:
             for name in crashed:
-                self.health.forgive(name, now_s)
+                self.health.retract_crash(name, now_s)
 
     def hear(self, peer, now_s):
         for entry in peer.poison.digest(now_s):
