--- a/src/tamarackrill/decisions/endpoint_news.py
+++ b/src/tamarackrill/decisions/endpoint_news.py
@@ -1,16 +1,16 @@
-"""What routers tell each other about endpoints: who is full, who fails, who has moved.
-
-Load pattern: many routers before many endpoints, so that each router sees an answer of
-an endpoint once in seconds.  Whatever it judges by its own answers comes too late: it
-goes on sending to an engine that is three times as full as the others, for which it
-takes the usual load, and each router finds out by failures of its own, at the cost of
-as many clients, that an endpoint fails or has another one at its address.
-
-So each router tells what it has seen in the last tick, as evidence and not as verdicts:
-the load that an endpoint reported, if it is above most; the failures that it saw; that
-an endpoint's address is another's by now.  Of endpoints that are well nothing is told,
-so that the bytes don't grow with their number.  Everything is a hint: what is lost
-costs what it would have cost without news, and what is doubled counts once.
+"""Gossip between routers about full, failing and misplaced endpoints.
+
+Load pattern: many routers send to many endpoints, so that each router sees an answer of
+an endpoint once in several seconds.  What it concludes from its own answers comes too
+late: it keeps sending to an engine three times as full as the others, for which it
+assumes the usual load, and each router finds out by its own failures, at the cost of as
+many clients, that an endpoint fails or that its address belongs to another one.
+
+So each router reports what it saw in the last tick, as evidence and not as a verdict:
+the load that an endpoint reported, if it is near its bound; failures; and addresses
+that now belong to another endpoint.  Healthy endpoints are not reported, so that the
+traffic doesn't grow with their number.  Reports are hints: a lost one costs what it
+would cost without gossip, and a duplicate counts once.
 """
 
 from collections import Counter
@@ -19,16 +19,17 @@
 from tamarackrill.decisions import hashing
 from tamarackrill.decisions.loads import EndpointLoad
 
-# A load of less than this share of the bound keeps nobody from sending there.  Told
-# from 0.6 of it on, 1.1 in 100 of the requests named at `loads.NEWS_KEPT_S` came to an
-# engine above the bound, and 0.8 with this: others push aside what counts.
+# Share of the bound from which a load is reported; a lower load keeps no router from
+# sending there.  With 0.6, less important loads crowd out the important ones: 1.1 % of
+# the requests described at `loads.NEWS_KEPT_S` reach an engine above the bound, with
+# 0.8 it is 0.8 %.
 LOAD_REPORTED_SHARE = 0.8
-# Endpoints whose load one router tells in one tick, the fullest ones; it hears of two
-# in that time at 6,500 requests a second over 370 routers.
+# Endpoints whose load one router reports per tick, the fullest ones.  At 6,500 requests
+# a second over 370 routers it receives the loads of two per tick.
 LOADS_REPORTED_MAX = 4
-# Endpoints whose failures one router tells in one tick.
+# Endpoints whose failures one router reports per tick.
 FAILURES_REPORTED_MAX = 6
-# Failures of one endpoint that one router tells in one tick: they fit into a byte.
+# Failures of one endpoint that one router reports per tick: they fit into a byte.
 FAILED_MAX = 127
 
 
@@ -40,11 +41,11 @@
     endpoint : str
         Name of the endpoint.
     reporter : int
-        The router; see `hash_reporter`.
+        Number of the router; see `hash_reporter`.
     sequence : int
-        Number of the tick; with the teller and the endpoint it is told once.
+        Number of the tick; with reporter and endpoint it identifies the report.
     failed : int
-        Answers that told of a failure, broke off or did not come in time.
+        Answers that reported a failure, broke off or were late.
     """
 
     endpoint: str
@@ -54,7 +55,7 @@
 
 
 class MisplacedReport(NamedTuple):
-    """Another endpoint answers at the address of this one."""
+    """Report that another endpoint answers at the address of this one."""
 
     endpoint: str
 
@@ -63,30 +64,30 @@
 
 
 def hash_reporter(router: str) -> int:
-    """Return the number of 31 bits by which a router tells who it is."""
+    """Return the 31-bit number that identifies a router in its reports."""
     return hashing.hash_name(router) >> 33
 
 
 class EndpointNews:
-    """What one router has to tell of endpoints.
+    """Collects the reports of one router about endpoints.
 
     Parameters
     ----------
     reporter : int
         See `hash_reporter`.
     sequence : int
-        Number of its first tick, above all of an earlier process of its name.
+        Number before its first tick, above all of earlier processes of its name.
     """
 
     def __init__(self, reporter: int, sequence: int) -> None:
-        self._teller = reporter
+        self._reporter = reporter
         self._sequence = sequence
         self._loads: dict[str, int] = {}
         self._failed: Counter[str] = Counter()
         self._misplaced: set[str] = set()
 
     def observe_load(self, endpoint: str, load: int, bound: int) -> None:
-        """Take the load that an endpoint has just reported.
+        """Record the load that an endpoint has just reported.
 
         Parameters
         ----------
@@ -95,7 +96,7 @@
         load : int
             Requests in flight there.
         bound : int
-            Most requests that it may have; see `routing.compute_bound`.
+            Bound of its load; see `routing.compute_bound`.
         """
         if load >= LOAD_REPORTED_SHARE * bound:
             self._loads[endpoint] = load
@@ -103,26 +104,26 @@
             self._loads.pop(endpoint, None)
 
     def observe_failure(self, endpoint: str) -> None:
-        """Take that a request has failed at an endpoint, or waits too long there."""
+        """Record that a request failed at an endpoint or waits too long there."""
         self._failed[endpoint] += 1
 
     def observe_misplaced(self, endpoint: str) -> None:
-        """Take that another endpoint has answered at the address of one."""
+        """Record that another endpoint answered at the address of one."""
         self._misplaced.add(endpoint)
 
     def take(self) -> list[EndpointReport]:
-        """Return what is to be told now, and forget it."""
+        """Return the reports of the current tick, and clear them."""
         self._sequence += 1
         fullest = sorted(self._loads.items(), key=lambda item: (-item[1], item[0]))
-        facts: list[EndpointReport] = [
+        reports: list[EndpointReport] = [
             EndpointLoad(*item) for item in fullest[:LOADS_REPORTED_MAX]
         ]
-        facts += [
-            FailureReport(name, self._teller, self._sequence, min(failed, FAILED_MAX))
+        reports += [
+            FailureReport(name, self._reporter, self._sequence, min(failed, FAILED_MAX))
             for name, failed in self._failed.most_common(FAILURES_REPORTED_MAX)
         ]
-        facts += [MisplacedReport(name) for name in sorted(self._misplaced)]
+        reports += [MisplacedReport(name) for name in sorted(self._misplaced)]
         self._loads.clear()
         self._failed.clear()
         self._misplaced.clear()
-        return facts
+        return reports
--- a/src/tamarackrill/decisions/failure_clusters.py
+++ b/src/tamarackrill/decisions/failure_clusters.py
@@ -1,44 +1,46 @@
 """Whether some endpoints of a pool fail, or all of them alike.
 
 Load pattern: a third, a half or nine in ten of a pool answer with errors at once, as
-when they share a release or a rack, while the others are well.  Compared with the mean
-or the median of the pool they look usual, and keep their work.  Compared with a fixed
-threshold, a pool that fails as a whole loses all its endpoints.
-
-Chance divides any pool in some way, and an endpoint may also have failed seldom because
-it was sent few requests.  So a division into those that fail and those that are well is
-believed only if two explanations are far less likely: that all have one share of
-failures, and that the lower part has the same one as the others at half as many
-requests.  Each counts as often as there are ways to choose a part of that size.
+when they share a release or a rack, while the others are healthy.  Compared with the
+mean or the median of the pool they look normal and keep their work.  Compared with a
+fixed threshold, a pool that fails as a whole loses all its endpoints.
+
+Random variation divides any pool somehow, and an endpoint may have failed rarely only
+because it received few requests.  So a division into failing and healthy endpoints is
+accepted only if its likelihood is far above that of two alternatives: that all share
+one failure rate, and that the healthy part has the failing part's rate at half as many
+requests.  The number of subsets of the failing part's size is a penalty (a correction
+for multiple comparisons).
 """
 
 import math
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-# Failures of one endpoint at least.  Two routers have to tell of them, as one counts
-# for less.
+# Least failures of a failing endpoint.  What counts per router is less, so that at
+# least two routers have to report.
 FAILED_MIN = 4
-# Times the failures of those that are well.  Endpoints differ in how many requests they
-# get, up to the bound of their loads.
+# Least multiple of the healthy endpoints' mean failures.  Endpoints receive different
+# numbers of requests, up to the bound of their loads.
 MULTIPLE_MIN = 4.0
-# Requests that an endpoint gets at least, as a part of what those that fail get.
+# Least requests that a healthy endpoint is assumed to get, as a share of those that a
+# failing one gets.
 REQUESTS_SHARE_MIN = 0.5
-# Logarithm of the odds by which a division must be likelier, and what is added for the
-# failing part of the pool: to leave most of a pool out by mistake costs most.
+# Least log-likelihood ratio of a division, and what is added in proportion to the
+# failing share of the pool: excluding most of a pool by mistake costs most.
 EVIDENCE_MIN = 6.0
 EVIDENCE_SHARE = 2.0
 
 
 class FailureCounts(NamedTuple):
-    """Failures of one endpoint within one time.
+    """Failures of one endpoint within one window.
 
     Parameters
     ----------
     accepted : int
-        Those that count against it.
+        Failures that count against it.
     reported : int
-        All that were told; they count where others are compared with it.
+        All reported failures, which count when others are compared with it.
     """
 
     accepted: int
@@ -46,39 +48,39 @@
 
 
 class _Division(NamedTuple):
-    """A pool divided in two by the failures that are believed.
+    """A pool divided into a failing and a healthy part by accepted failures.
 
     Parameters
     ----------
     failing_size : int
-        Endpoints of the upper part.
+        Endpoints of the failing part.
     evidence : float
-        Logarithm of the odds against the likelier of the other explanations, less that
-        of the ways to divide.
-    well_mean : float
-        Failures of an endpoint of the lower part, in the mean.
+        Log-likelihood ratio against the likelier of the alternatives, less the
+        logarithm of the number of possible divisions.
+    healthy_mean : float
+        Mean failures of an endpoint of the healthy part.
     failing_mean : float
-        Those of the upper part.
+        Mean failures of an endpoint of the failing part.
     """
 
     failing_size: int
     evidence: float
-    well_mean: float
+    healthy_mean: float
     failing_mean: float
 
 
 def find_failing(failed: Mapping[str, FailureCounts]) -> set[str]:
-    """Return the endpoints that fail while others of their pool are well.
+    """Return the endpoints that fail while others of their pool are healthy.
 
     Parameters
     ----------
-    failed : mapping of str to Failed
-        Every endpoint of the pool that got its usual share of the requests.
+    failed : mapping of str to FailureCounts
+        Every endpoint of the pool that received its usual share of the requests.
 
     Returns
     -------
     set of str
-        Empty if all fail alike, as far as the counts tell.
+        Empty if the counts don't show that some fail more than others.
     """
     division = _divide([*failed.values()])
     if division is None:
@@ -86,12 +88,12 @@
     failing_share = division.failing_size / len(failed)
     if division.evidence < EVIDENCE_MIN + EVIDENCE_SHARE * failing_share:
         return set()
-    least = max(FAILED_MIN, MULTIPLE_MIN * division.well_mean)
+    least = max(FAILED_MIN, MULTIPLE_MIN * division.healthy_mean)
     return {name for name, counts in failed.items() if counts.accepted >= least}
 
 
 def _divide(counts: Sequence[FailureCounts]) -> _Division | None:
-    """Return the most likely division whose parts differ enough, if there is one."""
+    """Return the division with the most evidence whose parts differ enough."""
     ordered = sorted(counts, key=lambda item: -item.accepted)
     reported = sum(item.reported for item in ordered)
     accepted = 0
@@ -103,38 +105,40 @@
         reported -= last.reported
         if last.accepted == following.accepted:
             continue
-        division = _weigh(accepted, size, reported, len(ordered) - size)
-        if division.failing_mean < MULTIPLE_MIN * division.well_mean:
+        division = _score_division(accepted, size, reported, len(ordered) - size)
+        if division.failing_mean < MULTIPLE_MIN * division.healthy_mean:
             continue
         if best is None or division.evidence > best.evidence:
             best = division
     return best
 
 
-def _weigh(
-    failing_count: int, failing_size: int, well_count: int, well_size: int
+def _score_division(
+    failing_count: int, failing_size: int, healthy_count: int, healthy_size: int
 ) -> _Division:
-    size = failing_size + well_size
+    size = failing_size + healthy_size
     failing_mean = failing_count / failing_size
-    mean = (failing_count + well_count) / size
-    against_chance = _compare(failing_count, failing_size * mean)
-    against_chance += _compare(well_count, well_size * mean)
+    mean = (failing_count + healthy_count) / size
+    against_equal_rates = _compute_log_ratio(failing_count, failing_size * mean)
+    against_equal_rates += _compute_log_ratio(healthy_count, healthy_size * mean)
     few_requests_mean = REQUESTS_SHARE_MIN * failing_mean
-    against_few_requests = _compare(well_count, well_size * few_requests_mean)
-    evidence = min(against_chance, against_few_requests)
+    against_few_requests = _compute_log_ratio(
+        healthy_count, healthy_size * few_requests_mean
+    )
+    evidence = min(against_equal_rates, against_few_requests)
     return _Division(
         failing_size,
-        evidence - _count_ways_log(size, failing_size),
-        well_count / well_size,
+        evidence - _compute_log_binomial(size, failing_size),
+        healthy_count / healthy_size,
         failing_mean,
     )
 
 
-def _compare(count: int, expected: float) -> float:
-    """Return the logarithm of how much likelier a count is of its own mean."""
+def _compute_log_ratio(count: int, expected: float) -> float:
+    """Return the Poisson log-likelihood ratio of mean `count` over `expected`."""
     return expected - count + (count * math.log(count / expected) if count else 0.0)
 
 
-def _count_ways_log(size: int, part: int) -> float:
-    """Return the logarithm of the ways to choose a part of a pool."""
+def _compute_log_binomial(size: int, part: int) -> float:
+    """Return the logarithm of the binomial coefficient."""
     return math.lgamma(size + 1) - math.lgamma(part + 1) - math.lgamma(size - part + 1)
--- a/src/tamarackrill/decisions/fleet_health.py
+++ b/src/tamarackrill/decisions/fleet_health.py
@@ -1,28 +1,27 @@
-"""Which endpoints fail more than their peers, by what all routers see together.
+"""Endpoints that fail more than their peers, from the failure reports of all routers.
 
-Load pattern: one of many endpoints fails every second request, answers nothing, or
-fails all while its health check is good.  One router among 76 sees its answers once in
-ten seconds; were it to wait for five of them, the endpoint would have failed hundreds
-of clients before the last router left it alone.  Together the routers see it within a
+Load pattern: one of many endpoints fails every second request, doesn't answer, or fails
+all requests while its health check passes.  One router among 76 sees an answer of it
+once in ten seconds; if each waited for five of them, the endpoint would fail hundreds
+of clients before the last router avoided it.  Together the routers detect it within a
 second.
 
 Failures are compared with those of the other endpoints of the pool, never with a
-threshold alone: where all fail alike, because requests are at fault or the network is,
-leaving some out would only push the rest.  Any part of a pool may fail together; see
-`failure_clusters`.  All endpoints get about as many requests, as their loads are
-bounded, so that failures alone can be compared, and of answers that are well nothing
-need be told.  An endpoint that has just joined, or gets work again, has not had its
-share of them, so that its few failures say nothing of the others.
-
-One router whose own link is bad fails everywhere and must not have endpoints left out
-by all: what one router tells counts up to a limit, and at least two must tell.  An
-endpoint that is out of order for the callers of one zone only is left out there alone:
-what other zones tell counts only where two of them do.
-
-How many are left out follows from the room that the rest has, and from the multiple of
-the mean load that none of them may carry: with twice the mean, half of a pool at most.
-An endpoint that was left out gets work again after a pause, which doubles while it
-fails again.
+threshold alone: if all fail alike, because of the requests or the network, excluding
+some would only overload the rest.  Any part of a pool may fail together; see
+`failure_clusters`.  Failure counts can be compared without the successes, which are not
+reported, because bounded loads give all endpoints about as many requests.  An endpoint
+that has just joined, or gets work again, has received fewer; its low count is no
+evidence that others are worse.
+
+One router whose own link is bad fails everywhere and must not make all routers exclude
+endpoints: the failures counted per router are limited, and at least two routers have to
+report.  An endpoint that fails only for callers of one zone is excluded only there:
+reports of other zones count only if two of them report.
+
+How many are excluded is limited by the capacity of the rest and by the multiple of the
+mean load that no endpoint may exceed: at twice the mean, half of a pool at most.  An
+excluded endpoint gets work again after a pause, which doubles if it fails again.
 """
 
 import math
@@ -33,40 +32,39 @@
 from tamarackrill.decisions.failure_clusters import FAILED_MIN as FAILED_MIN
 from tamarackrill.decisions.failure_clusters import FailureCounts, find_failing
 
-# Failures of one endpoint within this time are looked at together.
+# Sliding window over which the failures of an endpoint are added up.
 WINDOW_S = 5.0
-# Of one router no more than this counts for an endpoint, within one window.
+# Failures that count per endpoint, reporting router and window.
 REPORTER_FAILURES_MAX = 3
 REPORTERS_MIN = 2
-# Other zones that must tell before what they tell counts in this one.
+# Other zones that must report before their reports count in this one.
 ZONES_MIN = 2
-# The first pause, and the longest.  Endpoints fail for seconds to minutes; each return
-# costs the fleet a few requests.
+# First and longest pause.  Endpoints fail for seconds to minutes; each return of one
+# that still fails costs the fleet a few requests.
 PAUSE_MIN_S = 2.5
 PAUSE_MAX_S = 20.0
-# One that fails again so soon after its pause has not recovered.
+# An endpoint that fails again this soon after its pause has not recovered.
 RELAPSE_S = 6.0
 LOAD_CAP_DEFAULT = 2.0
-# Part of the slots of those that are left that may be taken by all requests.
+# Largest share of the remaining endpoints' slots that the requests in flight may take.
 OCCUPANCY_MAX = 0.5
-# What was told is remembered for so long, so that it counts once however late it comes
-# again.
+# How long a report is remembered, so that a duplicate that comes late isn't counted.
 REPORT_KEPT_S = 30.0
 
 
 class PoolFailures(NamedTuple):
-    """What is known of the failures of a pool.
+    """Failures of a pool, for the log.
 
     Parameters
     ----------
     endpoints : int
         Endpoints of the pool.
     failing : int
-        Those with failures enough to be left out, if others are well.
+        Those with enough failures to be paused, if others are healthy.
     paused : int
-        Those that are left out, as far as the others have room.
+        Those that get no work, as far as the others have capacity.
     failed_most, failed_mean : float
-        Failures of one endpoint that is not paused.
+        Highest and mean count of failures of the endpoints that are not paused.
     """
 
     endpoints: int
@@ -76,8 +74,8 @@
     failed_mean: float
 
 
-class _Count(NamedTuple):
-    heard_s: float
+class _Report(NamedTuple):
+    received_s: float
     reporter: int
     failed: int
 
@@ -87,16 +85,16 @@
     pause_s: float
 
 
-_NONE_FAILED = FailureCounts(0, 0)
+_NO_FAILURES = FailureCounts(0, 0)
 
 
 class FleetHealth:
-    """Failures of endpoints, as all routers tell them.
+    """Failures of endpoints, from the reports of all routers.
 
     Parameters
     ----------
     find_zone : callable
-        Returns the availability zone of a teller, None if it is not known.
+        Returns the availability zone of a reporting router, None if it is unknown.
     own_zone : str
         Availability zone of this router.
     load_cap : float, optional
@@ -112,30 +110,30 @@
         self._load_cap = load_cap
         self._find_zone = find_zone
         self._own_zone = own_zone
-        self._counts: dict[str, list[_Count]] = {}
-        self._heard_s: dict[tuple[str, int, int], float] = {}
+        self._counts: dict[str, list[_Report]] = {}
+        self._received_s: dict[tuple[str, int, int], float] = {}
         self._pauses: dict[str, _Pause] = {}
-        # When endpoints joined; those that this router found when it started, never.
+        # When endpoints joined; minus infinity if before this router started.
         self._joined_s: dict[str, float] = {}
 
     def observe_endpoints(self, names: Collection[str], now_s: float) -> None:
-        """Take the endpoints that there are, and forget the others."""
+        """Record the endpoints that exist, and forget the others."""
         self.retain(names)
         joined_s = now_s if self._joined_s else -math.inf
         for name in names:
             self._joined_s.setdefault(name, joined_s)
 
     def observe(self, reported: FailureReport, now_s: float) -> None:
-        """Take what a router tells; the second time it is passed over."""
+        """Record a router's report; ignore duplicates."""
         key = (reported.endpoint, reported.reporter, reported.sequence)
-        if key in self._heard_s:
+        if key in self._received_s:
             return
-        self._heard_s[key] = now_s
+        self._received_s[key] = now_s
         counts = self._counts.setdefault(reported.endpoint, [])
-        counts.append(_Count(now_s, reported.reporter, reported.failed))
+        counts.append(_Report(now_s, reported.reporter, reported.failed))
 
     def remove(self, endpoint: str) -> None:
-        """Forget an endpoint that is gone or has started anew."""
+        """Forget an endpoint that is gone or has restarted."""
         self._counts.pop(endpoint, None)
         self._pauses.pop(endpoint, None)
         self._joined_s.pop(endpoint, None)
@@ -148,17 +146,17 @@
 
     @property
     def has_no_failures(self) -> bool:
-        """Whether nothing was told of late, so that there is nothing to work out."""
+        """Whether there are neither recent failures nor pauses."""
         return not self._counts and not self._pauses
 
     def pause_failing(self, pool: Collection[str], now_s: float) -> list[str]:
-        """Pause the endpoints of a pool that fail; return those that are new."""
-        self._forget(now_s)
+        """Pause the failing endpoints of a pool; return the newly paused ones."""
+        self._expire(now_s)
         failed = {name: self._count(name) for name in pool if name in self._counts}
         if not any(counts.accepted >= FAILED_MIN for counts in failed.values()):
             return []
         compared = {
-            name: failed.get(name, _NONE_FAILED)
+            name: failed.get(name, _NO_FAILURES)
             for name in pool
             if not self._is_paused(name, now_s)
         }
@@ -166,7 +164,7 @@
             {
                 name: counts
                 for name, counts in compared.items()
-                if counts.accepted >= FAILED_MIN or self._had_share(name, now_s)
+                if counts.accepted >= FAILED_MIN or self._has_full_window(name, now_s)
             }
         )
         for name in sorted(found):
@@ -174,7 +172,7 @@
         return sorted(found)
 
     def describe(self, pool: Collection[str], now_s: float) -> PoolFailures:
-        """Return what is known of a pool, for the log."""
+        """Return a summary of a pool's failures, for the log."""
         unpaused = [name for name in pool if not self._is_paused(name, now_s)]
         counts = [self._count(name) for name in unpaused if name in self._counts]
         return PoolFailures(
@@ -188,22 +186,22 @@
     def find_paused(
         self, slots: Mapping[str, int], in_flight: int, now_s: float
     ) -> set[str]:
-        """Return the paused endpoints of a pool, as many as the rest has room for.
+        """Return the paused endpoints of a pool, as many as the rest can replace.
 
         Parameters
         ----------
         slots : mapping of str to int
-            Requests that each endpoint of the pool works on at once, by its name.
+            Requests that each endpoint of the pool can run at once, by its name.
         in_flight : int
-            Requests at all of them.
+            Requests in flight at all of them.
         now_s : float
             The present time.
         """
         paused = [name for name in slots if self._is_paused(name, now_s)]
-        # Those that were paused for longest have failed most often.
+        # The longest pauses belong to the endpoints that have failed most often.
         paused.sort(key=lambda name: (-self._pauses[name].pause_s, name))
         most = len(slots) - math.ceil(len(slots) / self._load_cap)
-        return _take_while_room(paused[:most], slots, in_flight)
+        return _limit_by_capacity(paused[:most], slots, in_flight)
 
     def _is_paused(self, name: str, now_s: float) -> bool:
         pause = self._pauses.get(name)
@@ -213,66 +211,68 @@
         last = self._pauses.get(name)
         pause_s = PAUSE_MIN_S if last is None else min(PAUSE_MAX_S, 2 * last.pause_s)
         self._pauses[name] = _Pause(now_s + pause_s, pause_s)
-        # What was told before the pause says nothing of the endpoint after it.
+        # Reports from before the pause are no evidence about the endpoint after it.
         self._counts.pop(name, None)
 
-    def _had_share(self, name: str, now_s: float) -> bool:
-        """Return whether an endpoint was sent requests for the whole window."""
+    def _has_full_window(self, name: str, now_s: float) -> bool:
+        """Return whether an endpoint received requests for the whole window."""
         pause = self._pauses.get(name)
-        began_s = self._joined_s.get(name, -math.inf)
+        since_s = self._joined_s.get(name, -math.inf)
         if pause is not None:
-            began_s = max(began_s, pause.until_s)
-        return began_s <= now_s - WINDOW_S
+            since_s = max(since_s, pause.until_s)
+        return since_s <= now_s - WINDOW_S
 
     def _count(self, name: str) -> FailureCounts:
-        by_teller: dict[int, int] = {}
+        by_reporter: dict[int, int] = {}
         for count in self._counts[name]:
-            by_teller[count.reporter] = by_teller.get(count.reporter, 0) + count.failed
-        # Of the endpoints that others are compared with everything counts.  Where each
-        # zone sends to its own endpoints, their failures are told by one other zone
-        # alone, and are no fewer for that.
-        return FailureCounts(self._sum_accepted(by_teller), sum(by_teller.values()))
-
-    def _sum_accepted(self, by_teller: Mapping[int, int]) -> int:
-        """Return the failures that count, 0 if too few tell of them."""
-        zones = {reporter: self._find_zone(reporter) for reporter in by_teller}
+            by_reporter[count.reporter] = (
+                by_reporter.get(count.reporter, 0) + count.failed
+            )
+        # As a base of comparison all reports count.  If each zone sends to its own
+        # endpoints, those of another zone are reported by that zone alone, which must
+        # not make them look healthier.
+        return FailureCounts(self._sum_accepted(by_reporter), sum(by_reporter.values()))
+
+    def _sum_accepted(self, by_reporter: Mapping[int, int]) -> int:
+        """Return the failures that count, 0 if too few routers report."""
+        zones = {reporter: self._find_zone(reporter) for reporter in by_reporter}
         elsewhere = set(zones.values()) - {self._own_zone, None}
         counts_all = len(elsewhere) >= ZONES_MIN
         counted = [
             min(REPORTER_FAILURES_MAX, failed)
-            for reporter, failed in by_teller.items()
+            for reporter, failed in by_reporter.items()
             if zones[reporter] == self._own_zone
             or (counts_all and zones[reporter] is not None)
         ]
         return sum(counted) if len(counted) >= REPORTERS_MIN else 0
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         oldest_s = now_s - WINDOW_S
         for name, counts in list(self._counts.items()):
-            kept = [count for count in counts if count.heard_s > oldest_s]
+            kept = [count for count in counts if count.received_s > oldest_s]
             if kept:
                 self._counts[name] = kept
             else:
                 del self._counts[name]
-        heard_s = now_s - REPORT_KEPT_S
-        while self._heard_s:
-            key = next(iter(self._heard_s))
-            if self._heard_s[key] > heard_s:
+        received_s = now_s - REPORT_KEPT_S
+        while self._received_s:
+            key = next(iter(self._received_s))
+            if self._received_s[key] > received_s:
                 break
-            del self._heard_s[key]
+            del self._received_s[key]
         for name, pause in list(self._pauses.items()):
             if pause.until_s + RELAPSE_S < now_s:
                 del self._pauses[name]
 
 
-def _take_while_room(
+def _limit_by_capacity(
     names: Collection[str], slots: Mapping[str, int], in_flight: int
 ) -> set[str]:
-    left = sum(slots.values())
-    taken: set[str] = set()
+    remaining_slots = sum(slots.values())
+    chosen: set[str] = set()
     for name in names:
-        left -= slots[name]
-        if len(taken) + 1 >= len(slots) or in_flight > OCCUPANCY_MAX * left:
+        remaining_slots -= slots[name]
+        if len(chosen) + 1 >= len(slots) or in_flight > OCCUPANCY_MAX * remaining_slots:
             break
-        taken.add(name)
-    return taken
+        chosen.add(name)
+    return chosen
--- a/src/tamarackrill/decisions/health.py
+++ b/src/tamarackrill/decisions/health.py
@@ -1,57 +1,59 @@
-"""Which endpoints may take new work: outliers, probes, slow start, flap damping.
-
-Load pattern: one endpoint of a pool answers slowly or with errors, a flapping one comes
-and goes, and a new one joins with an empty cache.  Without this module a share of all
-callers waits on the slow endpoint; with a fixed threshold in place of a comparison
-with peers, a slow hour of the whole pool ejects all of it; without damping, the
-chats of a flapping endpoint move back and forth and lose their cache each time.
-
-An endpoint is an outlier by its own answers against its pool's median, never by a
-threshold alone.  At most `EJECTED_SHARE` of a pool is kept from work at once.  One
-penalty, which halves with time, counts ejections and departures alike: work returns
-only when it has fallen below a lower mark than the one that stopped it (hysteresis),
-so that each ejection in a row lasts longer.  Probes, within a budget, must succeed
-before an ejected endpoint gets work, and it returns through a slow start.
+"""Outlier detection: ejection, probes, slow start and flap damping of endpoints.
+
+Load pattern: one endpoint of a pool answers slowly or with errors, another one flaps,
+and a new one joins with an empty cache.  Without this module a share of all callers
+waits on the slow endpoint; with a fixed threshold instead of a comparison with peers,
+a slow hour of the whole pool ejects all of it; without damping, the chats of a
+flapping endpoint move back and forth and lose their cache each time.
+
+An endpoint is an outlier if its answers are far from its pool's median, never by a
+threshold alone.  At most `EJECTED_SHARE` of a pool is excluded from new work at once.
+A penalty that decays exponentially counts both ejections and departures.  An endpoint
+that it has stopped gets work again only below a lower mark than the one that stopped
+it (hysteresis), so each ejection in a row lasts longer.  An ejected endpoint has to
+pass probes, whose rate is limited, and returns through a slow start.
 """
 
 from collections.abc import Collection, Sequence
 from statistics import median_low
 from typing import NamedTuple
 
-# Answers before an endpoint is compared: one slow prompt among four is no sign.
+# Answers before an endpoint is compared; one slow prompt among four is no evidence.
 SAMPLES_MIN = 5
-# Weight of the newest answer in a mean; about the last nine answers count.
+# Weight of the newest answer in the moving averages, which span about nine answers.
 NEWEST_WEIGHT = 0.2
-# Times the median of the peers at which the first token counts as slow, and the time
-# below which it never does: the aim is 0.32 s for 95 in 100.
+# A first token is slow above this multiple of the peers' median, but never below
+# SLOW_MIN_S, the target for the 95th percentile (0.32 s).
 SLOW_MULTIPLE = 3.0
 SLOW_MIN_S = 0.32
-# A probe's first token must be this near to the median again; below SLOW_MULTIPLE, or
-# an endpoint at the edge would be ejected and readmitted in turn.
+# Largest multiple of the median for a probe's first token.  Must be below
+# SLOW_MULTIPLE, or a borderline endpoint would be ejected and readmitted in turn.
 RECOVERED_MULTIPLE = 1.5
-# Share of failed answers that counts as failing, and the distance from the median.
+# Least share of failed answers of an outlier, and its least distance from the peers'
+# median.
 FAILURES_SHARE = 0.5
 FAILURES_ABOVE_PEERS = 0.3
-# Failures in a row that eject at once, as when connections are refused.
+# Consecutive failures that eject at once, as when connections are refused.
 CONSECUTIVE_FAILURES = 3
-# Broken answers and departures this close together are one: a crash breaks all answers
-# in flight at once, and the membership tells of it some seconds later.
+# Broken answers and departures this close together count as one: a crash breaks all
+# answers in flight at once, and the membership reports it some seconds later.
 SAME_DEPARTURE_S = 5.0
-# Share of a pool that may be kept from work; the other two thirds must carry all of
-# it, at 1.5 times their load before.
+# Largest share of a pool that may be excluded; the other two thirds then carry 1.5
+# times their previous load.
 EJECTED_SHARE = 0.34
-# The penalty: 1 for each departure or ejection, halving in this time.  Two departures
-# within a minute or so stop the work, and it may return after some 30 s.
+# The penalty grows by 1 for each departure or ejection and halves in this time.  Two
+# departures within 30 s stop new work for 30 to 42 s.
 PENALTY_HALF_LIFE_S = 30.0
 PENALTY_STOP = 1.5
 PENALTY_RETURN = 0.75
-# An ejected endpoint is probed first after this time.
+# Time from an ejection to the first probe.
 EJECTED_MIN_S = 5.0
 PROBES_NEEDED = 2
-# One probe in 2 s for each router, whatever the number of ejected endpoints: 500 bytes
-# for a completion of one token are 0.25 of the 3 KB/s.
+# Least time between two probes of a router, whatever the number of ejected endpoints:
+# a one-token completion of 500 bytes each 2 s is 0.25 KB/s of a budget of 3 KB/s.
 PROBE_EVERY_S = 2.0
-# An engine's cache fills within some ten steps of its chats.
+# Duration of the slow start: an engine's cache fills within about ten steps of its
+# chats.
 SLOW_START_S = 10.0
 SLOW_START_SHARE = 0.1
 
@@ -64,11 +66,11 @@
     endpoint : str
         Name of the endpoint.
     samples : int
-        Answers that it is made of.
+        Number of answers in the summary.
     failure_share : float
-        Share of failed answers, the newest weighted most.
+        Moving average of failed answers.
     first_token_s : float
-        Mean time to the first token.
+        Moving average of the time to the first token.
     """
 
     endpoint: str
@@ -78,7 +80,7 @@
 
 
 class _State:
-    """What is known of one endpoint."""
+    """Answer averages, penalty and ejection of one endpoint."""
 
     __slots__ = (
         "samples",
@@ -111,23 +113,23 @@
         self.joined_s = now_s
         self.is_present = True
 
-    def decay(self, now_s: float) -> float:
-        """Return the penalty as it is now."""
+    def compute_penalty(self, now_s: float) -> float:
+        """Return the penalty, decayed to `now_s`."""
         halvings = (now_s - self.penalty_s) / PENALTY_HALF_LIFE_S
         return self.penalty * 0.5**halvings
 
-    def punish(self, now_s: float) -> None:
-        self.penalty = self.decay(now_s) + 1.0
+    def add_penalty(self, now_s: float) -> None:
+        self.penalty = self.compute_penalty(now_s) + 1.0
         self.penalty_s = now_s
         self.is_stopped = self.is_stopped or self.penalty >= PENALTY_STOP
 
-    def depart(self, now_s: float) -> None:
-        """Count a crash or departure, once for all its signs."""
+    def record_departure(self, now_s: float) -> None:
+        """Penalize a crash or departure once, however often it is observed."""
         if now_s - self.departed_s >= SAME_DEPARTURE_S:
-            self.punish(now_s)
+            self.add_penalty(now_s)
         self.departed_s = now_s
 
-    def forget_answers(self) -> None:
+    def reset_answers(self) -> None:
         self.samples = 0
         self.failure_share = 0.0
         self.first_token_s = 0.0
@@ -135,45 +137,45 @@
 
 
 class Health:
-    """Health of all endpoints, as one router knows it."""
+    """Health of all endpoints, as seen by one router."""
 
     def __init__(self) -> None:
         self._states: dict[str, _State] = {}
         self._probed_s = float("-inf")
-        # Endpoints that may be stopped or ejected; all others need not be looked at.
-        self._suspects: set[str] = set()
+        # Superset of the stopped and ejected endpoints; spares a scan of all.
+        self._maybe_excluded: set[str] = set()
 
     def observe_present(self, endpoint: str, now_s: float) -> None:
-        """Take that an endpoint has joined, or come back."""
+        """Record that an endpoint has joined or come back."""
         state = self._states.get(endpoint)
         if state is None:
             self._states[endpoint] = _State(now_s)
         elif not state.is_present:
             state.is_present = True
             state.joined_s = now_s
-            state.forget_answers()
+            state.reset_answers()
 
     def observe_absent(self, endpoint: str, now_s: float) -> None:
-        """Take that an endpoint is gone without having said that it leaves."""
+        """Record that an endpoint is gone without having announced it."""
         state = self._states.get(endpoint)
         if state is not None and state.is_present:
             state.is_present = False
-            state.depart(now_s)
-            self._suspects.add(endpoint)
+            state.record_departure(now_s)
+            self._maybe_excluded.add(endpoint)
 
     def observe_crash(self, endpoint: str, now_s: float) -> None:
-        """Take that an answer broke off because the endpoint's process ended.
+        """Record that an answer broke off because the endpoint's process ended.
 
-        It counts as a departure and not as a failed answer: the request may be to
-        blame, and `retract_crash` takes it back once that is known.
+        Counts as a departure, not as a failed answer: the request may be the cause,
+        and `retract_crash` undoes it once that is known.
         """
-        self._states.setdefault(endpoint, _State(now_s)).depart(now_s)
-        self._suspects.add(endpoint)
+        self._states.setdefault(endpoint, _State(now_s)).record_departure(now_s)
+        self._maybe_excluded.add(endpoint)
 
     def remove(self, endpoint: str) -> None:
         """Forget an endpoint that has left for good."""
         self._states.pop(endpoint, None)
-        self._suspects.discard(endpoint)
+        self._maybe_excluded.discard(endpoint)
 
     def retain(self, names: Collection[str]) -> None:
         """Forget all endpoints that are not among `names`."""
@@ -188,7 +190,7 @@
         pool: Collection[str],
         now_s: float,
     ) -> bool:
-        """Take an answer; return whether it ejected the endpoint.
+        """Record an answer; return whether it ejected the endpoint.
 
         Parameters
         ----------
@@ -196,13 +198,13 @@
             Name of the endpoint.
         is_ok : bool
             False for a failure of the endpoint: no connection, status 5xx, no first
-            token in time.  What the caller caused (a bad request, a cancelled
-            answer) is not to be passed at all; for one that broke off see
+            token in time.  Failures caused by the caller (a bad request, a cancelled
+            answer) must not be recorded; for answers that broke off see
             `observe_crash`.
         first_token_s : float or None
             Time to the first token, None if there was none.
         pool : collection of str
-            Endpoints that serve the same, to compare with.
+            Endpoints of the same service, to compare with.
         now_s : float
             The present time.
 
@@ -218,15 +220,15 @@
             return False
         state.ejected_s = now_s
         state.probes_passed = 0
-        state.punish(now_s)
-        self._suspects.add(endpoint)
+        state.add_penalty(now_s)
+        self._maybe_excluded.add(endpoint)
         return True
 
     def retract_crash(self, endpoint: str, now_s: float) -> None:
-        """Take back the crash that a poison request has caused."""
+        """Undo the penalty for a crash that a poison request caused."""
         state = self._states.get(endpoint)
         if state is not None:
-            state.penalty = max(0.0, state.decay(now_s) - 1.0)
+            state.penalty = max(0.0, state.compute_penalty(now_s) - 1.0)
             state.penalty_s = now_s
             state.is_stopped = state.is_stopped and state.penalty >= PENALTY_STOP
 
@@ -235,38 +237,40 @@
 
         See `find_excluded`.
         """
-        kept_out = self.find_excluded(dict.fromkeys(pool), now_s)
-        return [name for name in pool if name not in kept_out]
+        excluded = self.find_excluded(dict.fromkeys(pool), now_s)
+        return [name for name in pool if name not in excluded]
 
     def find_excluded(self, pool: Collection[str], now_s: float) -> set[str]:
         """Return the endpoints of `pool` that may take no new work.
 
-        If more than `EJECTED_SHARE` of the pool is stopped, those with the least
-        penalty are let in again: some service is better than none.
+        If more than `EJECTED_SHARE` of the pool is excluded, those with the smallest
+        penalty are readmitted: some service is better than none.
 
         Parameters
         ----------
         pool : collection of str
-            Names; whether one is among them is asked often.
+            Names; must have a fast membership test.
         now_s : float
             The present time.
         """
-        kept_out = {n for n in self._suspects if self._is_kept_out(n, now_s)}
-        self._suspects = kept_out
-        stopped = [name for name in sorted(kept_out) if name in pool]
-        excess = len(stopped) - _count_ejectable(len(pool))
+        excluded = {n for n in self._maybe_excluded if self._is_excluded(n, now_s)}
+        self._maybe_excluded = excluded
+        excluded_here = [name for name in sorted(excluded) if name in pool]
+        excess = len(excluded_here) - _count_ejectable(len(pool))
         if excess > 0:
-            stopped.sort(key=lambda name: self._states[name].decay(now_s))
-            stopped = stopped[excess:]
-        return set(stopped)
+            excluded_here.sort(
+                key=lambda name: self._states[name].compute_penalty(now_s)
+            )
+            excluded_here = excluded_here[excess:]
+        return set(excluded_here)
 
     def find_slow_start_shares(
         self, pool: Sequence[str], now_s: float
     ) -> dict[str, float]:
-        """Return the share of the bound of each endpoint in slow start.
+        """Return the share of its load bound for each endpoint in slow start.
 
-        Relative to the warmest of the pool: when all of them are new, as after the
-        start of a fleet, none is held back.
+        Shares are relative to the warmest of the pool: when all are new, as after the
+        start of a fleet, none is limited.
         """
         shares = {name: self._compute_share(name, now_s) for name in pool}
         warmest = max(shares.values(), default=1.0)
@@ -279,7 +283,7 @@
     ) -> str | None:
         """Return the ejected endpoint to probe now, if any is due.
 
-        The caller sends the probe and reports with `observe_probe`.
+        The caller sends the probe and reports its result to `observe_probe`.
 
         Parameters
         ----------
@@ -292,7 +296,7 @@
             return None
         due = [
             (state.ejected_s, name)
-            for name in self._suspects
+            for name in self._maybe_excluded
             if (state := self._states[name]).ejected_s is not None
             and not state.is_probing
             and state.is_present
@@ -314,7 +318,7 @@
         pool: Collection[str],
         now_s: float,
     ) -> bool:
-        """Take the result of a probe; return whether the endpoint gets work again."""
+        """Record a probe's result; return whether the endpoint gets work again."""
         state = self._states.get(endpoint)
         if state is None or state.ejected_s is None:
             return False
@@ -329,20 +333,20 @@
             return False
         state.ejected_s = None
         state.joined_s = now_s
-        state.forget_answers()
-        return not self._is_kept_out(endpoint, now_s)
+        state.reset_answers()
+        return not self._is_excluded(endpoint, now_s)
 
-    def _is_kept_out(self, endpoint: str, now_s: float) -> bool:
+    def _is_excluded(self, endpoint: str, now_s: float) -> bool:
         state = self._states.get(endpoint)
         if state is None:
             return False
-        if state.is_stopped and state.decay(now_s) < PENALTY_RETURN:
+        if state.is_stopped and state.compute_penalty(now_s) < PENALTY_RETURN:
             state.is_stopped = False
             state.joined_s = now_s
         return state.is_stopped or state.ejected_s is not None
 
     def _may_eject(self, pool: Collection[str], now_s: float) -> bool:
-        ejected = sum(self._is_kept_out(name, now_s) for name in pool)
+        ejected = sum(self._is_excluded(name, now_s) for name in pool)
         return ejected < _count_ejectable(len(pool))
 
     def _compute_share(self, endpoint: str, now_s: float) -> float:
@@ -354,7 +358,7 @@
 
     def _is_outlier(self, endpoint: str, pool: Collection[str]) -> bool:
         own = self._states[endpoint]
-        # Most answers tell of no fault, and then the others need not be looked at.
+        # Fast path: most answers show no fault and need no comparison with the peers.
         if own.in_a_row < CONSECUTIVE_FAILURES and (
             own.samples < SAMPLES_MIN
             or (own.failure_share < FAILURES_SHARE and own.first_token_s <= SLOW_MIN_S)
@@ -376,7 +380,7 @@
         return median_low([peer.first_token_s for peer in peers]) if peers else 0.0
 
     def _list_peers(self, endpoint: str, pool: Collection[str]) -> list[EndpointHealth]:
-        """Return summaries of the others that are long enough."""
+        """Return the summaries of the peers that have `SAMPLES_MIN` answers."""
         found = []
         for name in pool:
             state = self._states.get(name)
@@ -390,7 +394,7 @@
 
 
 def _count_ejectable(pool_size: int) -> int:
-    """Return how many of a pool may be kept out: one of two, none of one."""
+    """Return how many of a pool may be excluded: one of two, none of one."""
     return min(pool_size - 1, max(1, int(EJECTED_SHARE * pool_size)))
 
 
--- a/src/tamarackrill/decisions/isolation.py
+++ b/src/tamarackrill/decisions/isolation.py
@@ -1,30 +1,29 @@
 """When a router asks the balancer to send its clients to other zones.
 
 Load pattern: an availability zone, or one router's VM, is cut off from the others while
-its clients still reach it.  Where all endpoints of a service stand behind the cut, each
-request for that service can only be refused, for as long as the cut lasts, though the
-routers of other zones could serve it.  A balancer that finds no router of a zone ready
-sends the zone's new connections to the next zones.
-
-So a router that is cut off from all that is outside its zone, and knows no endpoint
-that it can reach for some service, is not ready.  Both are asked: a service all of
-whose endpoints have ended is out of reach for every router, and were they all to go
-unready for it, nobody would serve the other services, nor tell clients when to come
-back.  So some routers of the other zones are asked as well, as witnesses: one that
-answers tells that there is no cut.  A cut zone that has an endpoint of each service
-goes on by itself.
+its clients still reach it.  If all endpoints of a service are behind the cut, each
+request for it has to be refused for as long as the cut lasts, though routers of other
+zones could serve it.  A balancer that finds no router of a zone ready sends the zone's
+new connections to the next zones.
+
+So a router is not ready if it can reach nothing outside its zone and, for some service,
+no endpoint at all.  Both conditions are needed: a service all of whose endpoints have
+ended is unreachable for every router, and if all became unready for it, nobody would
+serve the other services or tell clients when to retry.  For the same reason some
+routers of other zones are probed as witnesses: an answer from one shows that there is
+no cut.  A cut-off zone that has an endpoint of each service keeps serving.
 """
 
 from collections.abc import Collection, Iterable, Sequence
 
 from tamarackrill.contracts import Endpoint
 
-# A balancer asks once a second and takes a router out after two misses; for so long
-# after it has become unready, clients that come back may still be sent here.
+# A balancer checks once a second and removes a router after two misses.  For this long
+# after a router became unready, clients that retry may still be sent to it.
 BALANCER_DETECTION_S = 2.2
-# A single endpoint that can't be reached tells nothing of the path to its zone.
+# A single unreachable endpoint is no evidence about the path to its zone.
 OUTSIDE_MIN = 2
-# Routers of each other zone that are asked: one of them may be restarting.
+# Routers of each other zone that are probed; one of them may be restarting.
 WITNESSES_PER_ZONE = 2
 
 
@@ -34,7 +33,7 @@
     witnesses: Iterable[Endpoint],
     unreachable: Collection[str],
 ) -> bool:
-    """Return whether a router is cut off from what its clients ask for.
+    """Return whether a router is cut off from a service that its clients need.
 
     Parameters
     ----------
@@ -45,7 +44,7 @@
     witnesses : iterable of Endpoint
         Routers of other zones.
     unreachable : collection of str
-        Names of those that can't be reached.
+        Names of the endpoints and witnesses that can't be reached.
     """
     known = [pool for pool in pools if pool]
     outside = {e.name for pool in known for e in pool if e.zone != zone}
@@ -56,7 +55,7 @@
 
 
 def choose_witnesses(zone: str, routers: Iterable[Endpoint]) -> list[Endpoint]:
-    """Return the routers to be asked, some of each zone but `zone`."""
+    """Return the routers to probe, some of each zone but `zone`."""
     chosen: dict[str, list[Endpoint]] = {}
     for router in sorted(routers):
         found = chosen.setdefault(router.zone, [])
@@ -66,7 +65,7 @@
 
 
 class Isolation:
-    """Since when one router is cut off.
+    """Tracks since when one router is cut off.
 
     Parameters
     ----------
@@ -80,7 +79,7 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether clients are to be sent elsewhere."""
+        """Whether clients should go to other zones."""
         return self._since_s is not None
 
     def observe(
@@ -90,7 +89,7 @@
         unreachable: Collection[str],
         now_s: float,
     ) -> bool:
-        """Take what can be reached now; return whether that is a change."""
+        """Record what is reachable; return whether `is_cut_off` has changed."""
         before = self.is_cut_off
         if not is_isolated(self._zone, pools, witnesses, unreachable):
             self._since_s = None
@@ -99,7 +98,7 @@
         return self.is_cut_off != before
 
     def compute_failover_s(self, now_s: float) -> float | None:
-        """Return in what time clients reach other zones; None if they stay here."""
+        """Return the time until clients reach other zones, None if not cut off."""
         if self._since_s is None:
             return None
         return max(0.0, self._since_s + BALANCER_DETECTION_S - now_s)
--- a/src/tamarackrill/decisions/misplaced.py
+++ b/src/tamarackrill/decisions/misplaced.py
@@ -1,38 +1,38 @@
-"""Endpoints at whose addresses others answer by now.
+"""Endpoints whose addresses now belong to other endpoints.
 
-Load pattern: endpoints start again under new names at the addresses that they had, or
-their addresses go to other services, while the store is away and lists the old ones.
-Each request that is sent there is turned back by whoever answers.  Without a memory of
-that the next request goes there too, and every router learns it anew for every
-endpoint: an eighth of all requests were turned back on a played day of this kind, each
-of which had spent the endpoints that it might be sent to.
+Load pattern: endpoints restart under new names at the same addresses, or their
+addresses go to other services, while the store is unavailable and lists the old ones.
+Each request sent there is rejected by whoever answers.  Without this state the next
+request goes there too, and every router finds it out anew for every endpoint: an eighth
+of all requests can be rejected that way, each of which uses up the endpoints that it
+may be sent to.
 
-To be turned back is certain news, and for all routers at once, so that one tells the
-others.  The entry may come true again, so that it is tried anew after a while.
+A rejection is certain and holds for all routers, so one reports it to the others.  The
+entry may become correct again, so it is tried again after a while.
 """
 
 from collections.abc import Collection
 from collections.abc import Set as AbstractSet
 
-# One request of each router is turned back in this time for an entry that stays wrong;
-# stores are away for seconds to minutes.
+# An entry that stays wrong costs each router one rejected request in this time.  Stores
+# are unavailable for seconds to minutes.
 MISPLACED_KEPT_S = 5.0
 
 
 class MisplacedEndpoints:
-    """Endpoints that are known not to be at their addresses."""
+    """Endpoints known not to be at their addresses, with an expiry for each."""
 
     def __init__(self) -> None:
         self._until_s: dict[str, float] = {}
 
     def observe(self, endpoint: str, now_s: float) -> bool:
-        """Take that another endpoint answered for one; return whether that is news."""
+        """Record that another endpoint answered; return whether that is new."""
         is_news = endpoint not in self.find(now_s)
         self._until_s[endpoint] = now_s + MISPLACED_KEPT_S
         return is_news
 
     def remove(self, endpoint: str) -> None:
-        """Forget an endpoint that has started anew."""
+        """Forget an endpoint that has restarted."""
         self._until_s.pop(endpoint, None)
 
     def retain(self, names: Collection[str]) -> None:
@@ -41,7 +41,7 @@
             del self._until_s[name]
 
     def find(self, now_s: float) -> AbstractSet[str]:
-        """Return the names of those that get no work now."""
+        """Return the names of the misplaced endpoints, which get no work."""
         if not self._until_s:
             return frozenset()
         for name in [n for n, until_s in self._until_s.items() if until_s <= now_s]:
--- a/src/tamarackrill/decisions/placement_news.py
+++ b/src/tamarackrill/decisions/placement_news.py
@@ -1,20 +1,21 @@
-"""What routers tell each other about which engines hold which prompts.
-
-Load pattern: many routers each see a sliver of every session.  Rendezvous hashing lets
-them agree without a word on where a session goes, until its engine is full, leaves, or
-another one joins.  From then on each router knows only where it sent the session
-itself.  Without news the routers spread one session over several engines, and name
-engines to copy from that hold nothing; each of these prompts is read or copied again.
-
-So a router tells of each prefix that it sends to an engine which, as far as it has
-heard, doesn't hold it yet.  News is gathered by one router of each zone, the zone's
-hub, which sends what came within a tick to the hubs of the other zones, and to its own
-zone through a few helpers.  So a datagram carries the news of many routers, crosses
-between two zones once, and is sent to no more than a few routers by any one.
-
-All of it is a hint.  A datagram that is lost, a hub that is down until the others
-notice, a router that has just started: whoever lacks the news goes by rendezvous
-hashing and its own sends, as without it.
+"""Gossip between routers about which engines hold which prompts.
+
+Load pattern: many routers each see a few requests of every session.  By rendezvous
+hashing they agree without communication on a session's engine, until that is full or
+leaves, or another one joins.  From then on each router knows only where it sent the
+session itself.  Without gossip the routers spread a session over several engines and
+name engines to copy from that hold nothing; each of these prompts is read or copied
+again.
+
+So a router announces each prefix that it sends to an engine which, as far as it knows,
+doesn't hold it yet.  One router of each zone, its hub, collects the news of a tick and
+sends it to the hubs of the other zones, and to its own zone through a few helpers.  So
+a datagram carries the news of many routers, crosses between two zones once, and no
+router sends it to more than a few others.
+
+All news is a hint.  If a datagram is lost, a hub is down and not yet replaced, or a
+router has just started, the routers concerned use rendezvous hashing and their own
+requests, as they would without gossip.
 """
 
 import math
@@ -26,39 +27,40 @@
 from tamarackrill.decisions.endpoint_news import EndpointReport
 from tamarackrill.decisions.loads import EndpointLoad
 
-# Between two batches of a router.  News is on its way for three ticks at most.  What is
-# told of sessions would bear a quarter of a second, as those come back after seconds;
-# loads are old after a few tenths: with 0.25 s, 4.1 in 100 of the requests that are
-# named at `NEWS_KEPT_S` came to an engine above the bound, with 0.1 s 1.1.
+# Time between two batches of a router.  News arrives within three ticks.  Placements
+# could wait 0.25 s, as sessions come back after seconds, but loads are stale after a
+# few tenths of a second: with 0.25 s, 4.1 % of the requests described at
+# `loads.NEWS_KEPT_S` reach an engine above the bound, with 0.1 s 1.1 %.
 TICK_S = 0.1
-# Most bytes of one entry as it is sent: hash, tokens and the engine's name.
+# Largest encoded size of an entry: hash, tokens and the engine's name.
 ENTRY_BYTES = 32
-# Entries that every router receives: 1.9 KB/s of the few that it may spend on control
-# traffic, and less than half of that where an engine has several.  Each router takes
-# an equal part of it for its own news.
+# Entries that every router receives: 1.9 KB/s of the few KB/s for control traffic, and
+# less than half of that if an engine has several entries.  Each router may send an
+# equal part of them.
 FLEET_ENTRIES_PER_S = 60.0
-# Routers of a fleet in which what others expect is told too.  It keeps a session where
-# it is when an engine joins, which takes over one session in as many as there are
-# engines: at 60 routers and 45 engines 1.1 % of prompts moved without it and 0.6 with
-# it, at 370 routers 0.28 and 0.26, for 2 KB/s of each router and 15 of a hub.
+# Largest fleet in which placements that follow rendezvous hashing are announced too.
+# It keeps sessions in place when an engine joins, which otherwise takes over one in as
+# many as there are engines.  At 60 routers and 45 engines 1.1 % of prompts move without
+# it and 0.6 % with it; at 370 routers 0.28 % and 0.26 %, at a cost of 2 KB/s for each
+# router and 15 KB/s for a hub.
 EXPECTED_ROUTERS_MAX = 60
-# A fleet that starts has everything to tell at once.
+# Burst of the rate limit, in seconds: a starting fleet announces everything at once.
 BURST_S = 10.0
-# News that could not be told for so long is dropped: its session is in use elsewhere
-# by then, or cold.
+# News that could not be sent for this long is dropped: by then its session is in use
+# elsewhere, or cold.
 KEPT_S = 2.0
-# Entries in one datagram, so that it stays below the MTU that is in common use.
+# Entries in one datagram, which keep it below the usual MTU.
 BATCH_MAX = 40
-# Loads that one router passes on in a tick, the highest: 130 bytes, to a handful of
-# routers.  What matters is which endpoints are at the bound, and these are few: with 16
-# no fewer requests came to engines above it.
-LOADS_PASSED_MAX = 8
-# Entries that one router holds for its next batch.
+# Loads that one router forwards per tick, the highest: 130 bytes, to a few routers.
+# Only the endpoints at the bound matter, and these are few: with 16 no fewer requests
+# reach engines above it.
+LOADS_FORWARDED_MAX = 8
+# Entries that one router queues for its next batch.
 QUEUE_MAX = 2_000
 
 
 class Holding(NamedTuple):
-    """An engine holds a prefix.
+    """A prefix that an engine holds in its cache.
 
     Parameters
     ----------
@@ -76,16 +78,16 @@
 
 
 class Stage(IntEnum):
-    """Where news is on its way."""
+    """Hop of a message on its way to all routers."""
 
     TO_HUB = 0
     """From a router to the hub of its zone."""
     HUB_TO_HUB = 1
     """From one zone's hub to another's."""
     TO_ZONE = 2
-    """From a hub to its zone; helpers pass it on."""
+    """From a hub to its zone; helpers forward it."""
     TO_ROUTER = 3
-    """To a router that passes nothing on."""
+    """To a router that doesn't forward it."""
 
 
 Entry = Holding | EndpointReport
@@ -106,16 +108,16 @@
     news: News
 
 
-class _Told(NamedTuple):
-    told_s: float
+class _Queued(NamedTuple):
+    queued_s: float
     is_expected: bool
 
 
 def list_receivers(order: Sequence[str], own: str) -> list[str]:
-    """Return whom a router passes its zone's news on to.
+    """Return the routers to which a router forwards its zone's news.
 
-    The first of the order is the hub, the next few are its helpers, as many as each of
-    them then has others to serve: with n others, about the root of n.
+    The first of the order is the hub, the next few are its helpers.  With n routers
+    besides the hub there are about sqrt(n) helpers, each of which serves as many.
 
     Parameters
     ----------
@@ -135,7 +137,7 @@
 
 
 class PlacementNews:
-    """News that one router has to tell and to pass on.
+    """Queues the news that one router sends and forwards.
 
     Parameters
     ----------
@@ -148,24 +150,24 @@
     def __init__(self, own: str, zone: str) -> None:
         self._own = own
         self._zone = zone
-        # Routers of each zone, the hub first, in an order that all compute alike.
+        # Routers of each zone, the hub first; all routers compute the same order.
         self._orders = {zone: [own]}
         self._live: frozenset[tuple[str, str]] = frozenset()
         self._routers = 1
         self._allowance = 0.0
         self._allowed_s = -math.inf
-        self._own_news: dict[Holding, _Told] = {}
-        self._to_spread = _Queue()
-        self._to_cross = _Queue()
+        self._own_news: dict[Holding, _Queued] = {}
+        self._zone_queue = _Queue()
+        self._hub_queue = _Queue()
         self.dropped = 0
 
     @property
     def is_hub(self) -> bool:
-        """Whether this router gathers the news of its zone."""
+        """Whether this router collects the news of its zone."""
         return self._find_hub(self._zone) == self._own
 
     def set_members(self, members: Iterable[tuple[str, str]]) -> None:
-        """Take the live routers and their zones; this one is always among them."""
+        """Set the live routers and their zones; this one is always included."""
         live = frozenset(members)
         if live == self._live:
             return
@@ -175,62 +177,63 @@
             names.setdefault(zone, set()).add(name)
         self._routers = sum(len(zone) for zone in names.values())
         self._orders = {
-            zone: hashing.rank(zone, sorted(found)) for zone, found in names.items()
+            zone: hashing.rank(zone, sorted(zone_names))
+            for zone, zone_names in names.items()
         }
 
     def tell(self, held: Holding, is_expected: bool, now_s: float) -> None:
-        """Take what this router has found out itself, for its next batch.
+        """Queue news of this router for its next batch.
 
         Parameters
         ----------
         held : Held
-            What an engine holds from now on.
+            Prefix that an engine holds from now on.
         is_expected : bool
-            Whether rendezvous hashing sends the prompt there, so that routers which
-            don't hear of it will most likely do the same.
+            Whether rendezvous hashing sends the prompt there, so that routers without
+            this news will most likely do the same.
         now_s : float
             The present time.
         """
         if is_expected and self._routers > EXPECTED_ROUTERS_MAX:
             return
-        self._own_news[held] = _Told(now_s, is_expected)
+        self._own_news[held] = _Queued(now_s, is_expected)
         while len(self._own_news) > QUEUE_MAX:
             del self._own_news[next(iter(self._own_news))]
             self.dropped += 1
 
     def receive(self, news: News) -> list[SendNews]:
-        """Take another router's news; return what is passed on at once."""
+        """Take another router's news; return what to forward at once."""
         if news.stage == Stage.TO_ZONE:
-            return self._pass_on(news)
+            return self._forward(news)
         if news.stage in (Stage.TO_HUB, Stage.HUB_TO_HUB):
-            # Also while this router doesn't take itself for the hub: the sender knows
-            # of fewer or more routers, and nobody else will pass it on.
-            self.dropped += self._to_spread.add(news.entries)
+            # Also if this router doesn't consider itself the hub: the sender knows
+            # other members, and no other router will forward it.
+            self.dropped += self._zone_queue.add(news.entries)
         if news.stage == Stage.TO_HUB:
-            self.dropped += self._to_cross.add(news.entries)
+            self.dropped += self._hub_queue.add(news.entries)
         return []
 
     def tick(
         self, now_s: float, facts: Iterable[EndpointReport] = ()
     ) -> list[SendNews]:
-        """Return what is to be sent now.
+        """Return the messages to send now.
 
         Parameters
         ----------
         now_s : float
             The present time.
         facts : iterable of Fact, optional
-            What this router has to tell of endpoints; it goes the same way.
+            This router's reports about endpoints, which take the same route.
         """
         own_news: list[Entry] = [*self._take_own_news(now_s), *facts]
         if self.is_hub:
-            self.dropped += self._to_spread.add(own_news)
-            self.dropped += self._to_cross.add(own_news)
-            gathered = []
+            self.dropped += self._zone_queue.add(own_news)
+            self.dropped += self._hub_queue.add(own_news)
+            to_hub = []
         else:
             hub = self._find_hub(self._zone)
-            gathered = self._make(own_news, Stage.TO_HUB, [hub])
-        return gathered + self._send_queued()
+            to_hub = self._make_messages(own_news, Stage.TO_HUB, [hub])
+        return to_hub + self._send_queued()
 
     def _find_hub(self, zone: str) -> str:
         return self._orders[zone][0]
@@ -238,34 +241,34 @@
     def _send_queued(self) -> list[SendNews]:
         order = [self._own, *_without(self._orders[self._zone], self._own)]
         receivers = list_receivers(order, self._own)
-        spread = self._make(self._to_spread.take(), Stage.TO_ZONE, receivers)
+        to_zone = self._make_messages(self._zone_queue.take(), Stage.TO_ZONE, receivers)
         hubs = [self._find_hub(z) for z in sorted(self._orders) if z != self._zone]
-        crossing = self._make(self._to_cross.take(), Stage.HUB_TO_HUB, hubs)
-        return spread + crossing
+        to_hubs = self._make_messages(self._hub_queue.take(), Stage.HUB_TO_HUB, hubs)
+        return to_zone + to_hubs
 
-    def _pass_on(self, news: News) -> list[SendNews]:
+    def _forward(self, news: News) -> list[SendNews]:
         order = self._orders[self._zone]
         if news.sender == self._own or news.sender not in order:
             return []
         order = [news.sender, *_without(order, news.sender)]
         receivers = list_receivers(order, self._own)
-        return self._make(news.entries, Stage.TO_ROUTER, receivers)
+        return self._make_messages(news.entries, Stage.TO_ROUTER, receivers)
 
-    def _make(
+    def _make_messages(
         self, entries: Iterable[Entry], stage: Stage, receivers: Sequence[str]
     ) -> list[SendNews]:
-        told = list(entries)
+        listed = list(entries)
         batches = [
-            News(self._own, stage, tuple(told[start : start + BATCH_MAX]))
-            for start in range(0, len(told), BATCH_MAX)
+            News(self._own, stage, tuple(listed[start : start + BATCH_MAX]))
+            for start in range(0, len(listed), BATCH_MAX)
         ]
         return [SendNews(name, news) for news in batches for name in receivers]
 
     def _take_own_news(self, now_s: float) -> list[Holding]:
-        """Return as much of this router's own news as its part allows.
+        """Return as much of this router's own news as its rate limit allows.
 
-        What others can't guess goes first; then the longest, as a long prefix that is
-        read again costs what many short ones do.
+        Placements that others can't predict go first, then the longest prefixes, as
+        reading a long one again costs as much as many short ones.
         """
         rate_per_s = FLEET_ENTRIES_PER_S / self._routers
         elapsed_s = min(BURST_S, now_s - self._allowed_s)
@@ -273,7 +276,7 @@
         self._allowance += elapsed_s * rate_per_s
         self._allowance = min(self._allowance, rate_per_s * BURST_S)
         known = self._own_news
-        fresh = [held for held in known if now_s - known[held].told_s <= KEPT_S]
+        fresh = [held for held in known if now_s - known[held].queued_s <= KEPT_S]
         self.dropped += len(known) - len(fresh)
         fresh.sort(key=lambda held: (known[held].is_expected, -held.tokens))
         count = min(len(fresh), int(self._allowance))
@@ -283,17 +286,17 @@
 
 
 class _Queue:
-    """Entries that a router passes on with its next batch."""
+    """Entries that a router forwards with its next batch."""
 
     def __init__(self) -> None:
         self._entries: dict[Entry, None] = {}
         self._loads: dict[str, EndpointLoad] = {}
 
     def add(self, entries: Iterable[Entry]) -> int:
-        """Take entries; return how many had to be dropped."""
+        """Add entries; return how many were dropped."""
         for entry in entries:
             if isinstance(entry, EndpointLoad):
-                # Several routers have heard of one endpoint; the last word counts.
+                # Several routers may report one endpoint; the latest report wins.
                 self._loads[entry.endpoint] = entry
             else:
                 self._entries[entry] = None
@@ -303,9 +306,9 @@
         return dropped
 
     def take(self) -> list[Entry]:
-        """Return all that is passed on now, of loads the highest."""
+        """Return and clear all entries, of the loads only the highest."""
         loads = sorted(self._loads.values(), key=lambda load: -load.in_flight)
-        entries: list[Entry] = [*loads[:LOADS_PASSED_MAX], *self._entries]
+        entries: list[Entry] = [*loads[:LOADS_FORWARDED_MAX], *self._entries]
         self._loads.clear()
         self._entries.clear()
         return entries
--- a/tests/test_endpoint_news.py
+++ b/tests/test_endpoint_news.py
@@ -15,7 +15,7 @@
 )
 from tamarackrill.decisions.loads import NEWS_KEPT_S, EndpointLoad, Loads
 from tamarackrill.decisions.placement_news import (
-    LOADS_PASSED_MAX,
+    LOADS_FORWARDED_MAX,
     TICK_S,
     PlacementNews,
 )
@@ -80,7 +80,7 @@
 def test_router_passes_on_the_last_word_of_the_fullest_endpoints():
     hub = PlacementNews("a", "z")
     hub.set_members([("a", "z"), ("b", "z"), ("c", "z")])
-    loads = [EndpointLoad(f"e{n}", n) for n in range(2 * LOADS_PASSED_MAX)]
+    loads = [EndpointLoad(f"e{n}", n) for n in range(2 * LOADS_FORWARDED_MAX)]
     if not hub.is_hub:
         hub = PlacementNews("b", "z")
         hub.set_members([("a", "z"), ("b", "z"), ("c", "z")])
@@ -89,7 +89,7 @@
         hub.set_members([("a", "z"), ("b", "z"), ("c", "z")])
     fullest = loads[-1]
     (sent,) = hub.tick(0.0, [fullest._replace(in_flight=1), *loads])
-    assert sent.news.entries == tuple(loads[: -LOADS_PASSED_MAX - 1 : -1])
+    assert sent.news.entries == tuple(loads[: -LOADS_FORWARDED_MAX - 1 : -1])
 
 
 def test_news_of_a_full_endpoint_is_believed_for_a_while():
