--- a/bench/endpoint_news.py
+++ b/bench/endpoint_news.py
@@ -62,11 +62,11 @@
         zones = {
             name: f"z{number % size.zones}" for number, name in enumerate(self.names)
         }
-        by_teller = {hash_reporter(name): zone for name, zone in zones.items()}
+        by_reporter = {hash_reporter(name): zone for name, zone in zones.items()}
         self.pool = {f"e{number}": 48 for number in range(size.endpoints)}
         self.relays = {n: PlacementNews(n, zones[n]) for n in self.names}
         self.news = {n: EndpointNews(hash_reporter(n), 0) for n in self.names}
-        self.shared = {n: FleetHealth(by_teller.get, zones[n]) for n in self.names}
+        self.shared = {n: FleetHealth(by_reporter.get, zones[n]) for n in self.names}
         self.sent_bytes = dict.fromkeys(self.names, 0)
         for relay in self.relays.values():
             relay.set_members(zones.items())
--- a/src/tamarackrill/decisions/placement_news.py
+++ b/src/tamarackrill/decisions/placement_news.py
@@ -222,7 +222,7 @@
         ----------
         now_s : float
             The present time.
-        facts : iterable of Fact, optional
+        facts : iterable of EndpointReport, optional
             This router's reports about endpoints, which take the same route.
         """
         own_news: list[Entry] = [*self._take_own_news(now_s), *facts]
--- a/src/tamarackrill/router/paths.py
+++ b/src/tamarackrill/router/paths.py
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    reach : Reach
+    reach : Reachability
         What is known.
     list_endpoints : callable
         Returns all endpoints known now.
--- a/tests/test_endpoint_news.py
+++ b/tests/test_endpoint_news.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of endpoints."""
+"""Gossip between routers about endpoints."""
 
 import random
 
@@ -23,30 +23,30 @@
 from tamarackrill.decisions.routing import Placement, PlacementRequest
 
 
-def test_only_loads_near_the_bound_are_told_the_fullest_first():
+def test_only_loads_near_the_bound_are_reported_the_highest_first():
     news = EndpointNews(1, 0)
     for number in range(10):
         news.observe_load(f"e{number:02}", number, bound=10)
-    told = [fact.in_flight for fact in news.take()]
-    assert told == [9, 8]
+    reported = [fact.in_flight for fact in news.take()]
+    assert reported == [9, 8]
     assert news.take() == []
 
 
-def test_no_more_loads_are_told_than_matter():
+def test_number_of_reported_loads_is_bounded():
     news = EndpointNews(1, 0)
     for number in range(10):
         news.observe_load(f"e{number:02}", 10 + number, bound=10)
     assert [fact.in_flight for fact in news.take()] == [19, 18, 17, 16]
 
 
-def test_load_that_has_fallen_is_not_told():
+def test_load_that_has_fallen_is_not_reported():
     news = EndpointNews(1, 0)
     news.observe_load("e", 9, bound=10)
     news.observe_load("e", 1, bound=10)
     assert news.take() == []
 
 
-def test_failures_of_a_tick_are_told_once_with_its_number():
+def test_failures_of_a_tick_are_reported_once_with_its_number():
     news = EndpointNews(7, 100)
     for _ in range(3):
         news.observe_failure("e")
@@ -55,29 +55,29 @@
     assert news.take() == [FailureReport("e", 7, 102, 1)]
 
 
-def test_what_is_told_is_bounded():
+def test_reported_failures_are_bounded():
     # A service goes down and thousands of requests fail at once.  The datagrams between
-    # routers must not grow with that.
+    # routers must not grow with the failures.
     news = EndpointNews(1, 0)
     for number in range(100):
         for _ in range(300):
             news.observe_failure(f"e{number}")
-    told = news.take()
-    assert len(told) == FAILURES_REPORTED_MAX
-    assert {fact.failed for fact in told} == {FAILED_MAX}
+    reported = news.take()
+    assert len(reported) == FAILURES_REPORTED_MAX
+    assert {fact.failed for fact in reported} == {FAILED_MAX}
 
 
 def test_reporter_fits_into_the_field_of_its_message():
     assert all(0 <= hash_reporter(f"router-{n}") < 2**31 for n in range(1000))
 
 
-def test_misplaced_endpoint_is_told():
+def test_misplaced_endpoint_is_reported():
     news = EndpointNews(1, 0)
     news.observe_misplaced("e")
     assert news.take() == [MisplacedReport("e")]
 
 
-def test_router_passes_on_the_last_word_of_the_fullest_endpoints():
+def test_hub_forwards_the_latest_loads_of_the_fullest_endpoints():
     hub = PlacementNews("a", "z")
     hub.set_members([("a", "z"), ("b", "z"), ("c", "z")])
     loads = [EndpointLoad(f"e{n}", n) for n in range(2 * LOADS_FORWARDED_MAX)]
@@ -92,23 +92,23 @@
     assert sent.news.entries == tuple(loads[: -LOADS_FORWARDED_MAX - 1 : -1])
 
 
-def test_news_of_a_full_endpoint_is_believed_for_a_while():
+def test_news_of_a_full_endpoint_expires():
     loads = Loads()
     loads.observe_news([EndpointLoad("e", 9)], 10.0)
     assert loads.estimate(["e", "f"], 10.0) == [9, 0]
     assert loads.estimate(["e"], 10.1 + NEWS_KEPT_S) == [0]
 
 
-def test_own_later_report_goes_before_news():
+def test_own_report_takes_precedence_over_news():
     loads = Loads()
     loads.observe_report("e", 2, 10.0, 10.0)
     loads.observe_news([EndpointLoad("e", 9)], 10.05)
     assert loads.estimate(["e"], 10.05) == [2]
 
 
-def test_news_of_the_fullest_tells_nothing_of_the_others():
-    # Routers tell only of endpoints that are full.  Were these taken for usual, the
-    # others would pass for as full, and the bound would rise with them.
+def test_news_of_full_endpoints_does_not_raise_estimates_of_others():
+    # Routers report only full endpoints.  If these counted as typical, the others would
+    # be assumed to be as full, and the load bound would rise.
     loads = Loads()
     loads.observe_report("a", 2, 10.0, 10.0)
     loads.observe_news([EndpointLoad("e", 30)], 10.0)
@@ -116,7 +116,7 @@
 
 
 class Fleet:
-    """Many routers that send to few engines; each engine tells its load in answers."""
+    """Many routers and few engines, each of which reports its load in answers."""
 
     def __init__(self, routers, engines, has_news, seed):
         self.chance = random.Random(seed)
@@ -136,7 +136,7 @@
             self.relays[name] = PlacementNews(name, zone)
             self.relays[name].set_members(members)
             self.news[name] = EndpointNews(hash_reporter(name), 0)
-        self.above = self.sent = 0
+        self.above_bound = self.sent = 0
 
     def send(self, session, now_s):
         name = self.chance.choice(list(self.placements))
@@ -148,7 +148,7 @@
         engine = choice.endpoint.name
         mean = sum(self.in_flight.values()) / len(self.in_flight)
         self.sent += 1
-        self.above += self.in_flight[engine] > 2 * mean + 3
+        self.above_bound += self.in_flight[engine] > 2 * mean + 3
         self.in_flight[engine] += 1
         placement.start(engine, request, now_s)
         first_s = now_s + 0.06
@@ -159,8 +159,8 @@
     def advance(self, now_s):
         due = sorted(item for item in self.ends if item[0] <= now_s)
         self.ends = [item for item in self.ends if item[0] > now_s]
-        for at_s, what, name, engine, bound in due:
-            if what == "end":
+        for at_s, kind, name, engine, bound in due:
+            if kind == "end":
                 self.in_flight[engine] -= 1
                 self.placements[name].finish(engine, at_s)
             else:
@@ -180,13 +180,13 @@
             self.deliver(self.relays[action.router].receive(action.news), now_s)
 
 
-def play(has_news, seed, routers=76, engines=45, calls_per_s=280.0, play_s=8.0):
+def simulate(has_news, seed, routers=76, engines=45, calls_per_s=280.0, duration_s=8.0):
     fleet = Fleet(routers, engines, has_news, seed)
     # A few sessions get most of the requests, some of them at the same engine.
     sessions = [f"s{n}" for n in range(200)]
     weights = [1.0 / (n + 1) ** 0.7 for n in range(200)]
     now_s = tick_s = 0.0
-    while now_s < play_s:
+    while now_s < duration_s:
         now_s += fleet.chance.expovariate(calls_per_s)
         fleet.advance(now_s)
         if now_s >= tick_s:
@@ -198,10 +198,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_hot_sessions_stay_within_the_bound_over_many_routers(seed):
-    # Seventy-six routers send a few hot sessions to the engines that hold them.  Each
-    # hears of such an engine once in seconds and takes it for as empty as the others;
-    # together they send it three times the mean, and its callers wait.  No more than 3
-    # in 100 requests may reach an engine above twice the mean and 3.
-    alone, together = play(False, seed), play(True, seed)
-    assert alone.above > 0.03 * alone.sent
-    assert together.above <= 0.03 * together.sent
+    # 76 routers send a few hot sessions to the engines that hold them.  Each learns of
+    # such an engine's load once in several seconds and assumes the usual one; together
+    # they send it three times the mean.  No more than 3 % of the requests may reach an
+    # engine above twice the mean plus 3.
+    alone, together = simulate(False, seed), simulate(True, seed)
+    assert alone.above_bound > 0.03 * alone.sent
+    assert together.above_bound <= 0.03 * together.sent
--- a/tests/test_failure_clusters.py
+++ b/tests/test_failure_clusters.py
@@ -1,4 +1,4 @@
-"""Parts of a pool that fail together, and pools that fail as a whole."""
+"""Detection of endpoints that fail together, and of pools that fail as a whole."""
 
 import math
 import random
@@ -18,13 +18,13 @@
 SLOTS = 12
 STEP_S = 0.1
 REQUESTS_PER_S = 8.0
-GREY, OUTRIGHT = 0.4, 1.0
+PARTIAL, COMPLETE = 0.4, 1.0
 
 
-class Play:
-    """A pool under load, whose senders tell each failure at once.
+class SimulatedPool:
+    """A pool under load, whose senders report each failure at once.
 
-    Requests go to the endpoints that are not left out, evenly.
+    Requests are spread evenly over the endpoints that are not excluded.
     """
 
     def __init__(
@@ -34,24 +34,26 @@
         self.failing = {f"e{number}" for number in range(failing)}
         self.in_flight = in_flight
         self.now_s = 0.0
-        self.ever_left_out = set()
+        self.ever_excluded = set()
         self.ever_paused = set()
-        self.most_left_out = 0
+        self.most_excluded = 0
         self.failed = self.sent = 0
         self._share = share
         self._senders = senders
         self._chance = random.Random(1)
-        self._health = FleetHealth(lambda teller: f"z{teller % zones}", "z0", load_cap)
+        self._health = FleetHealth(
+            lambda reporter: f"z{reporter % zones}", "z0", load_cap
+        )
 
     def run(self, for_s):
         until_s = self.now_s + for_s
         while self.now_s < until_s:
             self.now_s += STEP_S
             self.ever_paused.update(self._health.pause_failing(self.pool, self.now_s))
-            left_out = self.find_paused()
-            self.ever_left_out |= left_out
-            self.most_left_out = max(self.most_left_out, len(left_out))
-            takers = [name for name in self.pool if name not in left_out]
+            excluded = self.find_paused()
+            self.ever_excluded |= excluded
+            self.most_excluded = max(self.most_excluded, len(excluded))
+            takers = [name for name in self.pool if name not in excluded]
             for _ in range(round(REQUESTS_PER_S * len(self.pool) * STEP_S)):
                 self._send(self._chance.choice(takers))
 
@@ -62,27 +64,29 @@
         self.sent += 1
         if name in self.failing and self._chance.random() < self._share:
             self.failed += 1
-            teller = self._chance.randrange(self._senders)
-            self._health.observe(FailureReport(name, teller, self.sent, 1), self.now_s)
+            reporter = self._chance.randrange(self._senders)
+            self._health.observe(
+                FailureReport(name, reporter, self.sent, 1), self.now_s
+            )
 
 
-# Endpoints, and those of them that fail: a third, a half, two thirds, nine in ten.
+# Endpoints, and how many fail: a third, a half, two thirds, nine in ten.
 PARTS = [(6, 2), (6, 3), (6, 4), (40, 13), (40, 20), (40, 27), (40, 36)]
 PARTS += [(79, 27), (79, 40), (79, 53), (79, 71)]
 
 
 @pytest.mark.parametrize(("senders", "zones"), [(6, 1), (6, 3), (195, 1), (195, 6)])
-@pytest.mark.parametrize("share", [GREY, OUTRIGHT])
+@pytest.mark.parametrize("share", [PARTIAL, COMPLETE])
 @pytest.mark.parametrize(("endpoints", "failing"), PARTS)
 def test_part_of_a_pool_that_fails_together_loses_its_work(
     endpoints, failing, share, senders, zones
 ):
-    # Guards against a part of a pool so large that its failures look usual.
-    play = Play(endpoints, failing, share, senders, zones)
-    play.run(4.0)
-    assert play.ever_paused == play.failing
-    assert play.ever_left_out <= play.failing
-    assert play.most_left_out == min(failing, endpoints // 2)
+    # Guards against a failing part so large that its failures look normal.
+    pool = SimulatedPool(endpoints, failing, share, senders, zones)
+    pool.run(4.0)
+    assert pool.ever_paused == pool.failing
+    assert pool.ever_excluded <= pool.failing
+    assert pool.most_excluded == min(failing, endpoints // 2)
 
 
 @pytest.mark.parametrize("load_cap", [1.5, 2.0, 4.0])
@@ -90,76 +94,79 @@
 def test_rest_of_a_pool_carries_no_more_than_the_multiple_of_the_mean(
     endpoints, failing, load_cap
 ):
-    # Guards against a few well endpoints that carry the load of all.
-    play = Play(endpoints, failing, OUTRIGHT, 195, 6, load_cap=load_cap)
-    play.run(4.0)
-    assert play.most_left_out
-    assert endpoints <= load_cap * (endpoints - play.most_left_out)
+    # Guards against a few healthy endpoints that carry the load of all.
+    pool = SimulatedPool(endpoints, failing, COMPLETE, 195, 6, load_cap=load_cap)
+    pool.run(4.0)
+    assert pool.most_excluded
+    assert endpoints <= load_cap * (endpoints - pool.most_excluded)
 
 
 @pytest.mark.parametrize(("endpoints", "failing"), PARTS)
 def test_part_that_fails_for_long_costs_few_requests(endpoints, failing):
-    # Guards against endpoints that get all their work back after each pause.
-    play = Play(endpoints, failing, GREY, 195, 6)
-    play.run(30.0)
+    # Guards against endpoints that fail for long and get all their work back after each
+    # pause.
+    pool = SimulatedPool(endpoints, failing, PARTIAL, 195, 6)
+    pool.run(30.0)
     left = endpoints - min(failing, endpoints // 2)
     share = (failing - endpoints + left) / left
-    assert play.failed < GREY * play.sent * (
+    assert pool.failed < PARTIAL * pool.sent * (
         share + 0.5 * (failing / endpoints - share)
     )
 
 
 @pytest.mark.parametrize(("senders", "zones"), [(6, 1), (6, 3), (195, 1), (195, 6)])
-@pytest.mark.parametrize("share", [0.05, GREY, OUTRIGHT])
+@pytest.mark.parametrize("share", [0.05, PARTIAL, COMPLETE])
 @pytest.mark.parametrize("endpoints", [2, 6, 40, 79])
 def test_pool_that_fails_as_a_whole_keeps_its_work(endpoints, share, senders, zones):
-    # Guards against load that is pushed from failing endpoints to others that fail.
-    play = Play(endpoints, endpoints, share, senders, zones)
-    play.run(20.0)
-    assert play.ever_left_out == set()
+    # Guards against load shifting from failing endpoints to others that fail too.
+    pool = SimulatedPool(endpoints, endpoints, share, senders, zones)
+    pool.run(20.0)
+    assert pool.ever_excluded == set()
 
 
 @pytest.mark.parametrize(("endpoints", "failing"), PARTS)
 @pytest.mark.parametrize("filled", [0.2, 0.5, 0.9])
 def test_rest_of_a_pool_gets_no_more_than_it_has_room_for(endpoints, failing, filled):
-    # Guards against a well rest that is filled with the work of a larger failing part.
-    play = Play(endpoints, failing, GREY, 195, 6, int(filled * endpoints * SLOTS))
+    # Guards against overloading a healthy part with the work of a larger failing one.
+    pool = SimulatedPool(
+        endpoints, failing, PARTIAL, 195, 6, int(filled * endpoints * SLOTS)
+    )
     for _ in range(40):
-        play.run(STEP_S)
-        left = SLOTS * (endpoints - len(play.find_paused()))
-        assert not play.find_paused() or 2 * play.in_flight <= left
+        pool.run(STEP_S)
+        left = SLOTS * (endpoints - len(pool.find_paused()))
+        assert not pool.find_paused() or 2 * pool.in_flight <= left
 
 
 def test_one_of_two_endpoints_that_fails_loses_its_work():
-    play = Play(2, 1, OUTRIGHT, 6, 3)
-    play.run(4.0)
-    assert play.ever_left_out == {"e0"}
+    pool = SimulatedPool(2, 1, COMPLETE, 6, 3)
+    pool.run(4.0)
+    assert pool.ever_excluded == {"e0"}
 
 
 def test_endpoint_that_has_just_joined_is_no_proof_that_others_are_worse():
-    # Guards against a pool that fails as a whole and loses its endpoints to the few
-    # that have not had their requests yet.
-    health = FleetHealth(lambda teller: "z0", "z0")
+    # Guards against a pool that fails as a whole being excluded because new endpoints,
+    # which have received no requests yet, look healthy.
+    health = FleetHealth(lambda reporter: "z0", "z0")
     old = {f"e{number}": SLOTS for number in range(8)}
     pool = {**old, **{f"new{number}": SLOTS for number in range(8)}}
     health.observe_endpoints(old, 0.0)
     health.observe_endpoints(pool, 100.0)
     for number, name in enumerate(old):
-        for teller in range(6):
-            health.observe(FailureReport(name, teller, number, 2), 100.5)
+        for reporter in range(6):
+            health.observe(FailureReport(name, reporter, number, 2), 100.5)
     assert health.pause_failing(pool, 100.6) == []
 
 
 def test_endpoint_that_gets_work_again_is_no_proof_that_others_are_worse():
-    # Guards against one wrong pause that makes all the others look worse at its end.
-    health = FleetHealth(lambda teller: "z0", "z0")
+    # Guards against one wrong pause after which all the other endpoints look worse.
+    health = FleetHealth(lambda reporter: "z0", "z0")
     pool = {f"e{number}": SLOTS for number in range(4)}
-    for teller in range(6):
-        health.observe(FailureReport("e0", teller, 0, 3), 0.0)
+    for reporter in range(6):
+        health.observe(FailureReport("e0", reporter, 0, 3), 0.0)
     assert health.pause_failing(pool, 0.1) == ["e0"]
     for name in ("e1", "e2", "e3"):
-        for teller in range(6):
-            health.observe(FailureReport(name, teller, 1, 3), 2.7)
+        for reporter in range(6):
+            health.observe(FailureReport(name, reporter, 1, 3), 2.7)
     assert not health.find_paused(pool, 0, 2.7)
     assert health.pause_failing(pool, 2.8) == []
 
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -34,7 +34,7 @@
 
 
 def run_probes(health, answer, start_s, until_s):
-    """Answer the probes that fall due; return when they were sent."""
+    """Run the probes that are due; return the times at which they were sent."""
     sent = []
     for tenth in range(int(start_s * 10), int(until_s * 10)):
         name = health.next_probe(tenth / 10)
@@ -57,9 +57,10 @@
     ("answer", "most"),
     [(slow_engine, h.SAMPLES_MIN), (failing_engine, h.CONSECUTIVE_FAILURES)],
 )
-def test_few_callers_meet_a_bad_endpoint(answer, most):
+def test_few_requests_reach_an_outlier(answer, most):
     # One engine of five answers thirty times slower than the others, or with errors.
-    # Without a comparison each fifth caller, and always the same chats, would meet it.
+    # Without outlier detection a fifth of the callers, always the same chats, would get
+    # it.
     received = serve(Health(), answer, 0.0, 200)
     bad = sum(one.wait_s is None or one.wait_s > 1.0 for one in received)
     assert 0 < bad <= most
@@ -67,24 +68,24 @@
 
 @pytest.mark.parametrize(("wait_s", "left"), [(5.0, 5), (None, 4)])
 def test_no_endpoint_is_an_outlier_when_all_are_bad(wait_s, left):
-    # The model is slow (or fails) everywhere, as after a bad release.  Ejecting by a
-    # threshold would leave no engine, and callers would get nothing at all.
+    # The model is slow or fails on all engines, as after a bad release.  A threshold
+    # alone would eject them all, and no caller would be served.
     health = Health()
     received = serve(health, lambda *_: wait_s, 0.0, 300)
     assert sum(one.is_ejected for one in received) == len(POOL) - left
     assert len({one.engine for one in received[-100:]}) == left
 
 
-def test_cap_holds_when_two_thirds_fail():
+def test_ejected_share_is_limited_when_two_thirds_fail():
     health = Health()
     serve(health, lambda name, _: None if name > "engine-1" else 0.1, 0.0, 300)
     assert len(health.find_allowed(POOL, 60.0)) == 4
     assert h.Health().find_allowed(["only"], 0.0) == ["only"]
 
 
-def test_recovered_endpoint_returns_by_probes_within_the_budget():
-    # An ejected engine is well again.  Without probes it would stay away for good, and
-    # the others would carry its callers; without a budget all routers would storm it.
+def test_recovered_endpoint_returns_by_rate_limited_probes():
+    # An ejected engine has recovered.  Without probes it would stay ejected for good;
+    # without a limit on their rate all routers would overload it.
     health = Health()
     serve(health, slow_engine, 0.0, 100)
     sent = run_probes(health, slow_engine, 20.0, 40.0)
@@ -95,18 +96,18 @@
     assert 0.0 < health.find_slow_start_shares(POOL, 44.0)["engine-1"] < 1.0
 
 
-def test_recovery_needs_a_clearer_answer_than_ejection():
-    # Times at the edge of the threshold.  With one mark for both ways the engine would
-    # be ejected and readmitted in turn, and its chats would lose their cache each time.
+def test_recovery_threshold_is_below_the_ejection_threshold():
+    # An engine's times are near the threshold.  Without hysteresis it would be ejected
+    # and readmitted in turn, and its chats would lose their cache each time.
     health = Health()
     serve(health, lambda n, _: 2.0 if n == "engine-1" else 0.5, 0.0, 100)
     run_probes(health, lambda *_: 1.2, 20.0, 60.0)
     assert "engine-1" not in health.find_allowed(POOL, 60.0)
 
 
-def test_flapping_endpoint_moves_its_chats_a_few_times_only():
-    # An engine comes and goes each ten seconds.  Undamped, its chats move each time,
-    # and each move costs a caller the whole prefix.
+def test_chats_of_a_flapping_endpoint_move_a_few_times_only():
+    # An engine joins and departs every ten seconds.  Without damping its chats move
+    # each time, and each move has the whole prefix read again.
     health = Health()
     moves, was_allowed = 0, True
     for name in POOL:
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -31,27 +31,26 @@
 
 
 def test_zone_without_an_endpoint_of_a_service_is_isolated_by_a_cut():
-    # The zone loses its lines. It has a desk of its own and no writer, so each client
-    # that wants a draft is refused until the cut heals, though every other zone could
-    # serve it.
+    # The zone is cut off.  It has a desk but no writer, so each client that requests a
+    # draft is refused until the cut ends, though every other zone could serve it.
     assert is_isolated("a", POOLS, WITNESSES, OUTSIDE)
 
 
-def test_zone_with_endpoints_of_all_services_goes_on_by_itself():
+def test_zone_with_endpoints_of_all_services_is_not_isolated():
     pools = [make_pool("writer", "a", "b", "c"), DESKS]
     assert not is_isolated("a", pools, WITNESSES, OUTSIDE)
 
 
 def test_service_whose_endpoints_have_all_ended_leaves_routers_ready():
-    # All writers crash at once. Were the routers of all zones to go unready for it,
-    # nobody would reach the desks, which are well.
+    # All writers crash at once.  If the routers of all zones became unready, no client
+    # would reach the desks, which are healthy.
     assert not is_isolated("a", POOLS, WITNESSES, {e.name for e in WRITERS})
 
 
-def test_only_service_whose_endpoints_all_fall_silent_leaves_routers_ready():
-    # The deployment has one service, and all of its endpoints lose power. Routers of
-    # other zones still answer, so there is no cut; clients have to be told when to come
-    # back, which takes a router that they reach.
+def test_outage_of_the_only_service_leaves_routers_ready():
+    # The only service of a deployment loses all endpoints.  Routers of other zones
+    # still answer, so there is no cut, and clients need a reachable router to learn
+    # when to retry.
     silent = {endpoint.name for endpoint in WRITERS}
     assert not is_isolated("a", [WRITERS], WITNESSES, silent)
 
@@ -62,17 +61,17 @@
 
 
 @pytest.mark.parametrize("reached", sorted(OUTSIDE))
-def test_one_endpoint_outside_that_can_be_reached_tells_that_there_is_no_cut(reached):
+def test_one_reachable_endpoint_outside_rules_out_a_cut(reached):
     assert not is_isolated("a", POOLS, WITNESSES, OUTSIDE - {reached})
 
 
 @pytest.mark.parametrize("pools", [[], [[]], [make_pool("writer", "b")]])
-def test_too_little_is_known_to_tell_a_cut(pools):
+def test_too_few_endpoints_outside_are_no_evidence_of_a_cut(pools):
     unreachable = {endpoint.name for pool in pools for endpoint in pool}
     assert not is_isolated("a", pools, [], unreachable)
 
 
-def test_cut_is_told_once_and_its_end_once():
+def test_start_and_end_of_a_cut_are_reported_once():
     isolation = Isolation("a")
     seen = [(POOLS, set()), (POOLS, OUTSIDE), (POOLS, OUTSIDE), (POOLS, set())]
     changes = [
@@ -83,9 +82,9 @@
     assert not isolation.is_cut_off
 
 
-def test_clients_are_told_to_come_back_once_the_balancer_has_moved_them():
-    # A client that comes back earlier reaches a router of the same zone, is refused
-    # again, and has no attempt left; one that comes back much later is late.
+def test_clients_retry_once_the_balancer_has_moved_them():
+    # A client that retries earlier reaches a router of the same zone, is refused again
+    # and has no attempt left; one that retries much later misses its deadline.
     isolation = Isolation("a")
     assert isolation.compute_failover_s(1.0) is None
     isolation.observe(POOLS, WITNESSES, OUTSIDE, 1.0)
--- a/tests/test_misplaced.py
+++ b/tests/test_misplaced.py
@@ -1,4 +1,4 @@
-"""Endpoints at whose addresses others answer."""
+"""Endpoints whose addresses now belong to other endpoints."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 CONFIRM = make_route("/confirm/", "non_idempotent", attempts=1)
 
 
-async def turn_back(request, writer):
-    """Answer as another worker does that has got the address."""
+async def reject(request, writer):
+    """Reject a request as another worker that now has the address does."""
     writer.write(
         make_answer(request, b"", 421, X_Instance_Id="i-new", X_Response_Signature="")
     )
 
 
-def test_endpoint_is_left_alone_for_a_while():
+def test_misplaced_endpoint_is_excluded_until_it_expires():
     known = MisplacedEndpoints()
     assert known.observe("a", 1.0)
     assert not known.observe("a", 2.0)
@@ -25,7 +25,7 @@
     assert known.observe("a", 9.0)
 
 
-def test_endpoint_that_has_started_anew_or_gone_is_forgotten():
+def test_restarted_or_removed_endpoint_is_forgotten():
     known = MisplacedEndpoints()
     for name in ("a", "b", "c"):
         known.observe(name, 1.0)
@@ -34,7 +34,7 @@
     assert known.find(1.0) == {"b"}
 
 
-def play(act):
+def run_with_fleet(act):
     async def run():
         async with EdgeFleet() as fleet:
             await fleet.put_manifest(1, CONFIRM)
@@ -53,26 +53,26 @@
     return router, workers
 
 
-def test_confirmation_is_served_past_endpoints_that_are_no_longer_there():
-    # Two of three workers have started again under new names while the store is away.
-    # Whoever has their addresses turns a confirmation back, which has then not run; it
-    # must not be refused because it has no further endpoint to be sent to.
+def test_confirmation_is_served_despite_misplaced_endpoints():
+    # Two of three workers have restarted under new names while the store is down.  The
+    # workers now at their addresses reject a confirmation, which has then not run; it
+    # must not be refused for lack of another endpoint.
     async def act(fleet):
-        router, workers = await add_workers(fleet, turn_back, turn_back, answer_ok)
+        router, workers = await add_workers(fleet, reject, reject, answer_ok)
         for number in range(8):
             answer = await ask(router, "/confirm/a", f"id-{number}")
             assert answer.status == 200
         assert sum(len(worker.requests) for worker in workers[:2]) <= 2
         assert len(workers[2].ran) == 8
 
-    play(act)
+    run_with_fleet(act)
 
 
-def test_requests_are_refused_at_once_while_nobody_is_where_the_store_says():
-    # All workers have started again, and the store is away.  A client is told at once
-    # that its confirmation has not run, instead of after being turned back each time.
+def test_requests_are_refused_at_once_while_all_endpoints_are_misplaced():
+    # All workers have restarted, and the store is down.  A client must learn at once
+    # that its confirmation has not run, instead of after a rejection each time.
     async def act(fleet):
-        router, workers = await add_workers(fleet, turn_back, turn_back)
+        router, workers = await add_workers(fleet, reject, reject)
         for number in range(6):
             answer = await ask(router, "/confirm/a", f"id-{number}")
             assert answer.status == 503
@@ -80,14 +80,14 @@
         assert read_reason(answer) == "no_endpoint"
         assert sum(len(worker.requests) for worker in workers) == 2
 
-    play(act)
+    run_with_fleet(act)
 
 
 def test_one_router_learns_from_another_that_an_endpoint_has_moved():
-    # Each router would be turned back by each endpoint that has moved, at the cost of
-    # as many of the fleet's repeats.
+    # Without gossip each router would be rejected by each endpoint that has moved, at
+    # the cost of as many retries of the fleet.
     async def act(fleet):
-        first, workers = await add_workers(fleet, turn_back, answer_ok)
+        first, workers = await add_workers(fleet, reject, answer_ok)
         second = await fleet.add_router("router-2")
         await fleet.wait(lambda: len(first.members.list_live()) == 2)
         await fleet.wait(lambda: len(second.view.list_live("desk")) == 2)
@@ -99,4 +99,4 @@
             assert answer.status == 200
         assert len(workers[0].requests) == 1
 
-    play(act)
+    run_with_fleet(act)
--- a/tests/test_placement_news.py
+++ b/tests/test_placement_news.py
@@ -1,4 +1,4 @@
-"""News of placements between routers: who hears what, over kills, cuts and losses."""
+"""Gossip of placements between routers, with crashes, partitions and losses."""
 
 import math
 from collections import Counter
@@ -31,7 +31,7 @@
 
 
 class Fleet:
-    """Routers that exchange news; datagrams that a test does not lose arrive."""
+    """Routers that exchange news; datagrams arrive unless a test drops them."""
 
     def __init__(self, counts):
         self.zones = {
@@ -73,20 +73,20 @@
 
 @pytest.mark.parametrize("counts", [(1,), (2,), (3, 1, 2), (15, 15, 15), (46, 2, 1)])
 def test_news_reaches_every_router_within_three_ticks(counts):
-    # A session's engine is full and its prompt goes to another one.  A router that
-    # doesn't hear of it sends the next prompt to a third.
+    # A session's engine is full and its prompt goes to another one.  A router without
+    # this news sends the next prompt to a third.
     fleet = Fleet(counts)
-    teller = sorted(fleet.routers)[-1]
-    fleet.tell(teller, HELD)
+    origin = sorted(fleet.routers)[-1]
+    fleet.tell(origin, HELD)
     for _ in range(3):
         fleet.tick()
     assert all(HELD in heard for heard in fleet.heard.values())
 
 
 @pytest.mark.parametrize("counts", [(3, 1, 2), (15, 15, 15), (46, 2, 1)])
-def test_news_is_received_once_and_sent_to_few_by_any_one(counts):
-    # Were each router to tell all others, 370 would send 370 datagrams for each session
-    # that moves, and the hub of a zone as many as its zone has routers.
+def test_news_is_received_once_and_each_router_sends_few_datagrams(counts):
+    # If routers sent news to all others, each of 370 would send 370 datagrams for each
+    # session that moves, and the hub of a zone as many as its zone has routers.
     fleet = Fleet(counts)
     for number, name in enumerate(fleet.routers):
         fleet.tell(name, make_held(number))
@@ -112,10 +112,10 @@
     assert sorted(served) == sorted(order[1:])
 
 
-def test_hub_that_is_down_costs_news_only_until_it_is_known():
-    # The hub of a zone is killed.  Its zone neither tells nor hears for as long as the
-    # others take it for live; nothing is refused or misplaced by that, and the next
-    # router in order takes over.
+def test_news_is_lost_only_until_a_dead_hub_is_replaced():
+    # The hub of a zone is killed.  Its zone neither sends nor receives news until the
+    # others notice, which refuses or misplaces no request; then the next router in
+    # order takes over.
     fleet = Fleet((4, 2))
     hub = next(
         n for n, r in fleet.routers.items() if r.is_hub and n.startswith("hall-a")
@@ -133,27 +133,27 @@
     assert all(make_held(2) in fleet.heard[name] for name in left)
 
 
-def test_news_for_a_router_that_is_no_longer_the_hub_still_reaches_the_zone():
-    # A router joins and becomes the hub, which one of the others has not yet heard.
+def test_news_sent_to_a_former_hub_still_reaches_the_zone():
+    # A router joins and becomes the hub, which one of the others doesn't know yet.
     fleet = Fleet((5, 1))
     hub = next(
         n for n, r in fleet.routers.items() if r.is_hub and n.startswith("hall-a")
     )
     old = sorted(n for n in fleet.routers if n.startswith("hall-a") and n != hub)
-    old_hub, teller = old[0], old[1]
-    news = News(teller, Stage.TO_HUB, (HELD,))
+    old_hub, origin = old[0], old[1]
+    news = News(origin, Stage.TO_HUB, (HELD,))
     fleet.deliver(old_hub, fleet.routers[old_hub].receive(news))
     fleet.heard[old_hub].add(HELD)
-    fleet.heard[teller].add(HELD)
+    fleet.heard[origin].add(HELD)
     for _ in range(3):
         fleet.tick()
     assert all(HELD in heard for heard in fleet.heard.values())
 
 
-def test_longest_prefixes_are_told_first_and_the_rest_within_the_allowance():
-    # Every session moves at once, as when a zone is cut off.  Telling all of it would
-    # take more than the routers may spend on control; what is told is what costs most
-    # to read again.
+def test_longest_prefixes_are_sent_first_within_the_rate_limit():
+    # Every session moves at once, as when a zone is cut off.  Announcing all of them
+    # would exceed the budget for control traffic, so those that cost most to read again
+    # go first.
     own = PlacementNews("hall-a-0", "hall-a")
     fleet = [(f"hall-a-{n}", "hall-a") for n in range(60)]
     own.set_members(fleet)
@@ -164,9 +164,9 @@
     assert {held.tokens for held in sent} == set(range(100 - allowance, 100))
 
 
-def test_what_others_would_guess_is_told_last():
-    # A fleet starts and every session is new; all but a few go where every router sends
-    # them without a word.  Told first, they would take the place of those few.
+def test_expected_placements_are_sent_last():
+    # A fleet starts and every session is new.  Most go where rendezvous hashing sends
+    # them anyway; announced first, they would use up the rate limit of the few others.
     own = PlacementNews("hall-a-0", "hall-a")
     own.set_members([(f"hall-a-{n}", "hall-a") for n in range(60)])
     for number in range(100):
@@ -177,7 +177,7 @@
     assert first.news.entries[0] == surprise
 
 
-def test_what_could_not_be_told_in_time_is_dropped_and_counted():
+def test_news_that_waits_too_long_is_dropped_and_counted():
     own = PlacementNews("hall-a-0", "hall-a")
     own.set_members([(f"hall-a-{n}", "hall-a") for n in range(600)])
     for number in range(10):
@@ -187,7 +187,7 @@
     assert own.dropped == 10 - int(FLEET_ENTRIES_PER_S / 600 * BURST_S)
 
 
-def test_memory_is_bounded():
+def test_queues_are_bounded():
     own = PlacementNews("hall-a-0", "hall-a")
     for number in range(QUEUE_MAX + 10):
         own.tell(make_held(number), False, 0.0)
@@ -202,7 +202,7 @@
 
 
 class NewsMachine(RuleBasedStateMachine):
-    """Routers leave, return and disagree about who lives, and datagrams are lost."""
+    """Routers leave, return and disagree about members, and datagrams are lost."""
 
     def __init__(self):
         super().__init__()
@@ -254,7 +254,7 @@
 
     @invariant()
     def no_news_goes_in_circles(self):
-        # With routers that disagree about the hub, news must still come to an end.
+        # Even if routers disagree about the hub, forwarding must end.
         self.fleet.received.clear()
         for _ in range(6):
             self.fleet.tick()
@@ -263,7 +263,7 @@
         assert sum(self.fleet.received.values()) == quiet
 
     def teardown(self):
-        # Once all agree and nothing is lost, news reaches everybody who lives.
+        # Once all agree and nothing is lost, news reaches every live router.
         self.fleet.is_lost = lambda sender, receiver: False
         self.fleet.spread_members(sorted(self.fleet.routers))
         self.tell(0)
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -25,9 +25,9 @@
     assert not reach.observe_answer(endpoints[0])
 
 
-def test_request_does_not_pay_for_finding_out_whether_a_path_is_back():
-    # A zone is cut off for seconds.  Were the endpoints there tried again by requests
-    # each time a pause is over, some clients would lose a timeout each time.
+def test_requests_do_not_probe_an_unreachable_endpoint():
+    # A zone is cut off for seconds.  If requests retried its endpoints after each
+    # backoff, some clients would lose a timeout each time.
     endpoints = make_endpoints()
     reach = Reachability()
     reach.observe_failure(endpoints[0], 0.0)
@@ -36,7 +36,7 @@
     assert reach.find_unreachable(endpoints) == {"a0"}
 
 
-def test_pause_doubles_up_to_its_bound():
+def test_backoff_doubles_up_to_its_maximum():
     endpoints = make_endpoints()
     reach = Reachability()
     now_s, pauses = 0.0, []
@@ -50,9 +50,9 @@
     assert pauses[-1] == PAUSE_MAX_S
 
 
-def test_many_failures_at_once_are_one():
-    # Ten requests were waiting for connections to a dark endpoint.  Were each failure
-    # to double the pause, the endpoint would be out for seconds after it is back.
+def test_simultaneous_failures_count_once():
+    # Ten requests wait for connections to an unreachable endpoint.  If each failure
+    # doubled the backoff, the endpoint would be unused for seconds after it is back.
     endpoints = make_endpoints()
     reach = Reachability()
     assert [reach.observe_failure(endpoints[0], 0.0) for _ in range(10)].count(
@@ -61,9 +61,9 @@
     assert reach.list_due(endpoints, PAUSE_MIN_S) == [endpoints[0]]
 
 
-def test_neighbours_of_a_dark_endpoint_are_suspects():
+def test_endpoints_in_the_zone_of_an_unreachable_one_are_probed():
     # A zone is cut off.  Each request sent there would hang for the whole connect
-    # timeout; asked at once, the others of the zone are known before more are sent.
+    # timeout; probing the rest of the zone at once avoids most of these.
     endpoints = make_endpoints(per_zone=10)
     reach = Reachability()
     reach.observe_failure(endpoints[0], 0.0)
@@ -73,7 +73,7 @@
     assert endpoints[0] not in suspects
 
 
-def test_gone_endpoints_are_forgotten():
+def test_removed_endpoints_are_forgotten():
     endpoints = make_endpoints()
     reach = Reachability()
     reach.observe_failure(endpoints[0], 0.0)
@@ -82,10 +82,10 @@
     assert reach.find_unreachable(endpoints) == {"a1"}
 
 
-def test_failure_has_one_endpoint_of_each_other_zone_asked():
-    # The router's own zone is cut off, and the first request that notices was for one
-    # far zone. Were the other zones left to later requests, each of these would lose a
-    # timeout before the router knows where it stands.
+def test_failure_has_one_endpoint_of_each_other_zone_probed():
+    # The router's own zone is cut off, and the first failed request was for one other
+    # zone.  If the remaining zones were not probed, later requests would each lose a
+    # timeout before the router detects the cut.
     endpoints = make_endpoints()
     reach = Reachability()
     reach.observe_failure(endpoints[0], 0.0)
