--- a/src/tamarackrill/decisions/health.py
+++ b/src/tamarackrill/decisions/health.py
@@ -42,7 +42,7 @@
 # times their previous load.
 EJECTED_SHARE = 0.34
 # The penalty grows by 1 for each departure or ejection and halves in this time.  Two
-# departures within 30 s stop new work for 30 to 42 s.
+# departures within 30 s stop new work for 30 to 40 s.
 PENALTY_HALF_LIFE_S = 30.0
 PENALTY_STOP = 1.5
 PENALTY_RETURN = 0.75
