--- a/src/tamarackrill/decisions/prefix_copies.py
+++ b/src/tamarackrill/decisions/prefix_copies.py
@@ -21,7 +21,7 @@
 
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.cache_index import HOLDERS_MAX, CacheIndex
-from tamarackrill.decisions.placement_news import Held
+from tamarackrill.decisions.placement_news import Holding
 from tamarackrill.decisions.pools import SHORTLIST_SIZE, EndpointPool
 from tamarackrill.decisions.prompts import Prefix
 
@@ -65,7 +65,7 @@
 
     def record_send(
         self, prefixes: Sequence[Prefix], engine: str, now_s: float
-    ) -> list[Held]:
+    ) -> list[Holding]:
         """Record that a prompt is sent to an engine; return the entries to gossip.
 
         A prefix that already has `HOLDERS_MAX` holders is not gossiped: the beginning
@@ -75,7 +75,7 @@
         for prefix in prefixes:
             holders = self._list_holders(prefix.key, now_s)
             if engine not in holders and len(holders) < HOLDERS_MAX:
-                new_entries.append(Held(engine, prefix.key, prefix.tokens))
+                new_entries.append(Holding(engine, prefix.key, prefix.tokens))
             self._index.record_send(prefix.key, engine, prefix.tokens, now_s)
         return new_entries
 
