--- a/bench/claims.py
+++ b/bench/claims.py
@@ -19,11 +19,11 @@
 from tamarackrill.decisions.claim_buckets import (
     AddClaim,
     Claim,
+    encode_entries,
     find_bucket,
     format_attempt,
     hash_claim_key,
     merge_changes,
-    write_entries,
 )
 from tamarackrill.decisions.claim_messages import (
     BucketRead,
@@ -191,7 +191,7 @@
 
 def weigh_value(count: int) -> float:
     """Return the bytes of a bucket's value on its way to the platform."""
-    return float(len(json.dumps(write_entries(_make_entries(count)))))
+    return float(len(json.dumps(encode_entries(_make_entries(count)))))
 
 
 def time_write(count: int) -> float:
@@ -200,7 +200,7 @@
     add = AddClaim(1, "f" * 24, "r/0/1", 0.0, 1.0, 1.0, 2e9)
 
     def write() -> None:
-        json.dumps(write_entries(merge_changes(entries, [add], 1.0).entries))
+        json.dumps(encode_entries(merge_changes(entries, [add], 1.0).entries))
 
     return time_us(write, 10)
 
--- a/src/tamarackrill/decisions/answers.py
+++ b/src/tamarackrill/decisions/answers.py
@@ -38,7 +38,7 @@
     expires_s: float | None = None
 
 
-class Answers:
+class AnswerCache:
     """Records by identity, in the order in which their answers were kept."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
     return None
 
 
-def look_up(answers: Answers, identity: Identity, fingerprint: str) -> Verdict:
+def look_up(answers: AnswerCache, identity: Identity, fingerprint: str) -> Verdict:
     """Return whether a request is new, joins an earlier one or contradicts it.
 
     Parameters
@@ -74,13 +74,13 @@
     return "join" if record.fingerprint == fingerprint else "mismatch"
 
 
-def start(answers: Answers, identity: Identity, fingerprint: str) -> None:
+def start(answers: AnswerCache, identity: Identity, fingerprint: str) -> None:
     """Note that a new request runs."""
     answers.records[identity] = Record(fingerprint)
 
 
-def keep(
-    answers: Answers,
+def finish(
+    answers: AnswerCache,
     identity: Identity,
     size_bytes: int,
     is_kept: bool,
@@ -114,7 +114,7 @@
     return forgotten
 
 
-def expire(answers: Answers, now_s: float) -> list[Identity]:
+def expire(answers: AnswerCache, now_s: float) -> list[Identity]:
     """Drop what has been kept long enough and return the identities to forget."""
     old = [
         identity
@@ -126,7 +126,7 @@
     return old
 
 
-def _drop_oldest(answers: Answers) -> Identity:
+def _drop_oldest(answers: AnswerCache) -> Identity:
     (team, _), *_ = answers.size_bytes.most_common(1)
     kept = (
         identity
@@ -138,7 +138,7 @@
     return oldest
 
 
-def _drop(answers: Answers, identity: Identity) -> None:
+def _drop(answers: AnswerCache, identity: Identity) -> None:
     record = answers.records.pop(identity)
     answers.size_bytes[identity.team] -= record.size_bytes
     if not answers.size_bytes[identity.team]:
--- a/src/tamarackrill/decisions/attempts.py
+++ b/src/tamarackrill/decisions/attempts.py
@@ -15,7 +15,7 @@
 from tamarackrill.decisions import hashing
 
 Outcome = Literal["answered", "not_sent", "not_run", "failed", "lost", "misplaced"]
-Next = Literal["repeat", "answer", "refuse", "give_up"]
+NextStep = Literal["repeat", "answer", "refuse", "give_up"]
 
 # Less than this is no time in which a lookup of 20 ms could come back.
 TIME_LEFT_MIN_S = 0.03
@@ -41,7 +41,7 @@
 ELSEWHERE_SPREAD_S = 0.2
 
 
-class Tried(NamedTuple):
+class AttemptHistory(NamedTuple):
     """What has happened to a request so far.
 
     Parameters
@@ -62,12 +62,12 @@
     misplaced: int = 0
 
     @property
-    def has_arrived(self) -> bool:
+    def was_delivered(self) -> bool:
         """Whether any endpoint has got it, so that another send repeats it."""
         return bool(self.sent or self.misplaced)
 
 
-def add_attempt(tried: Tried, outcome: Outcome) -> Tried:
+def add_attempt(tried: AttemptHistory, outcome: Outcome) -> AttemptHistory:
     """Return what has happened after one more attempt."""
     if outcome == "not_sent":
         return tried._replace(unconnected=tried.unconnected + 1)
@@ -79,12 +79,12 @@
 
 def decide_next(
     outcome: Outcome,
-    tried: Tried,
+    tried: AttemptHistory,
     may_repeat: bool,
     attempts_max: int,
     repeats_left: float,
     time_left_s: float,
-) -> Next:
+) -> NextStep:
     """Decide what follows an attempt.
 
     Parameters
@@ -121,7 +121,7 @@
 
 def _may_repeat_now(
     outcome: Outcome,
-    tried: Tried,
+    tried: AttemptHistory,
     may_repeat: bool,
     attempts_max: int,
     repeats_left: float,
@@ -138,7 +138,7 @@
     return repeats_left >= 1.0
 
 
-def choose_return_s(
+def choose_retry_after_s(
     key: str, is_cut: bool, time_left_s: float, elsewhere_s: float | None = None
 ) -> float:
     """Return when a refused client should come back, spread by its request.
--- a/src/tamarackrill/decisions/claim_buckets.py
+++ b/src/tamarackrill/decisions/claim_buckets.py
@@ -140,13 +140,13 @@
     return router, incarnation
 
 
-def read_entries(value: Mapping[str, Any] | None) -> Entries:
+def decode_entries(value: Mapping[str, Any] | None) -> Entries:
     """Return the claims in an object's value; an absent object has none."""
     claims = (value or {}).get("claims", {})
     return {key_hash: Claim(*fields) for key_hash, fields in claims.items()}
 
 
-def write_entries(entries: Entries) -> dict[str, Any]:
+def encode_entries(entries: Entries) -> dict[str, Any]:
     """Return the object's value for claims."""
     return {"claims": {key_hash: list(claim) for key_hash, claim in entries.items()}}
 
--- a/src/tamarackrill/decisions/event_stream.py
+++ b/src/tamarackrill/decisions/event_stream.py
@@ -18,7 +18,7 @@
 EVENT_MAX_BYTES = 1 << 20
 
 
-class EventStreamFault(Exception):
+class EventStreamError(Exception):
     """An endpoint sent something that is no stream of events."""
 
 
@@ -42,7 +42,7 @@
 
         Raises
         ------
-        EventStreamFault
+        EventStreamError
             If an event never ends.
         """
         data = self._partial + piece
@@ -55,7 +55,7 @@
                 events.append(event)
         self._partial = data[start:]
         if len(self._partial) > EVENT_MAX_BYTES:
-            raise EventStreamFault("an event does not end")
+            raise EventStreamError("an event does not end")
         self.events += len(events)
         return b"".join(events)
 
--- a/src/tamarackrill/decisions/leases.py
+++ b/src/tamarackrill/decisions/leases.py
@@ -28,12 +28,12 @@
     lease_s : float
         How long a holder may order after it sent a renewal that was accepted.  With
         10 s, one holder costs the platform 0.3 writes a second.
-    order_max_s : float
+    order_delivery_max_s : float
         Longest time from the check before an order to its arrival at the engine.
     """
 
     lease_s: float = 10.0
-    order_max_s: float = 5.0
+    order_delivery_max_s: float = 5.0
 
 
 class LeaseRecord(NamedTuple):
@@ -103,7 +103,7 @@
         """Return whether an order may be sent now; ask right before each order."""
         return self._is_own() and now_s < self._valid_until_s
 
-    def advance(self, now_s: float) -> Action | None:
+    def next_action(self, now_s: float) -> Action | None:
         """Return what to do now to get or keep the lease.
 
         Parameters
@@ -144,14 +144,14 @@
             record = self._record._replace(renewal=self._record.renewal + 1)
         return WriteLease(record, self._version)
 
-    def take_read(
+    def handle_read(
         self, record: LeaseRecord | None, version: int | None, now_s: float
     ) -> None:
         """Take what a read gave; both are None if there is no object."""
         self._was_read = True
         self._see(record, version, now_s)
 
-    def take_write(
+    def handle_write(
         self, action: WriteLease, version: int | None, sent_s: float, now_s: float
     ) -> None:
         """Take the outcome of a write.
@@ -175,7 +175,7 @@
         # candidate may have seen it at once.
         self._valid_until_s = sent_s + self._timing.lease_s
 
-    def take_lost_write(self) -> None:
+    def handle_lost_write(self) -> None:
         """Take that a write was not answered: only a read tells what stands."""
         self._was_read = False
 
@@ -192,7 +192,7 @@
 
     def _free_from_s(self) -> float:
         timing = self._timing
-        return self._first_seen_s + timing.lease_s + timing.order_max_s
+        return self._first_seen_s + timing.lease_s + timing.order_delivery_max_s
 
 
 def read_lease_record(value: dict[str, Any]) -> LeaseRecord:
--- a/src/tamarackrill/decisions/loading.py
+++ b/src/tamarackrill/decisions/loading.py
@@ -37,13 +37,13 @@
     ordered_s: float
 
 
-def list_needed(contracts: Iterable[Contract]) -> list[str]:
+def list_needed_models(contracts: Iterable[Contract]) -> list[str]:
     """Return the models that contracts name, the most named first."""
     counts = Counter(model for contract in contracts for model in contract.models)
     return [model for model, _ in sorted(counts.items(), key=lambda i: (-i[1], i[0]))]
 
 
-def drop_settled(
+def drop_finished_loads(
     pending: Mapping[str, PendingLoad], engines: Sequence[Endpoint], now_s: float
 ) -> dict[str, PendingLoad]:
     """Return the pending loads, by engine, that are neither done nor lost."""
--- a/src/tamarackrill/decisions/ordering.py
+++ b/src/tamarackrill/decisions/ordering.py
@@ -89,7 +89,7 @@
         self.changed_s = now_s
 
 
-class Order:
+class ChatOrder:
     """Chats by name, the least recently used first, and those where some wait."""
 
     def __init__(self) -> None:
@@ -97,7 +97,7 @@
         self.waiting: dict[str, Chat] = {}
 
 
-def arrive(order: Order, message: Arrived, now_s: float) -> list[Action]:
+def handle_arrival(order: ChatOrder, message: Arrived, now_s: float) -> list[Action]:
     """Take a request.
 
     Parameters
@@ -129,7 +129,7 @@
     return _start_next(chat)
 
 
-def end(order: Order, message: Ended, now_s: float) -> list[Action]:
+def handle_end(order: ChatOrder, message: Ended, now_s: float) -> list[Action]:
     """Take the end of a request, also of one that was still waiting."""
     chat = order.chats.get(message.chat)
     if chat is None:
@@ -150,7 +150,7 @@
     return _start_next(chat)
 
 
-def take_time(order: Order, now_s: float) -> list[Action]:
+def handle_timeouts(order: ChatOrder, now_s: float) -> list[Action]:
     """Refuse what has waited too long, and start chats that are new to this home."""
     actions: list[Action] = []
     for name, chat in list(order.waiting.items()):
@@ -164,8 +164,8 @@
     return actions
 
 
-def next_due_s(order: Order) -> float | None:
-    """Return when `take_time` is next due, or None."""
+def next_due_s(order: ChatOrder) -> float | None:
+    """Return when `handle_timeouts` is next due, or None."""
     dues: list[float] = []
     for chat in order.waiting.values():
         if chat.waiting and chat.next_sequence is None:
@@ -227,7 +227,7 @@
     return first_s + BASE_WAIT_S
 
 
-def _forget(order: Order, now_s: float) -> None:
+def _forget(order: ChatOrder, now_s: float) -> None:
     for name, chat in list(order.chats.items())[:2]:
         is_idle = not chat.running and not chat.waiting
         is_old = chat.changed_s + CHAT_KEPT_S <= now_s
--- a/src/tamarackrill/decisions/poison.py
+++ b/src/tamarackrill/decisions/poison.py
@@ -24,7 +24,7 @@
 # its own would condemn all it was running.
 CRASHES_MAX = 2
 # Broken answers at one endpoint this close together are one crash.
-SAME_CRASH_S = 5.0
+CRASH_DEDUP_S = 5.0
 # A crashed endpoint takes minutes to load its weights; the caller may send the request
 # again for as long as that, and a fixed release is not rolled out sooner.
 CRASHES_KEPT_S = 600.0
@@ -53,7 +53,7 @@
     return int(fingerprint[:16], 16)
 
 
-class Poison:
+class PoisonTracker:
     """Crashes by fingerprint, as one router knows them."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
     def observe_crash(self, fingerprint: int, endpoint: str, now_s: float) -> bool:
         """Count a crash seen by this router; return whether it was a new one."""
         for crash in self._find(fingerprint, now_s):
-            if crash.endpoint == endpoint and now_s - crash.crashed_s < SAME_CRASH_S:
+            if crash.endpoint == endpoint and now_s - crash.crashed_s < CRASH_DEDUP_S:
                 return False
         self._add(fingerprint, _Crash(now_s, endpoint, ""), now_s)
         return True
@@ -103,13 +103,13 @@
                 retry_after_s=newest_s + CRASHES_KEPT_S - now_s,
             )
 
-    def find_avoided(self, fingerprint: int, now_s: float) -> set[str]:
+    def find_endpoints_to_avoid(self, fingerprint: int, now_s: float) -> set[str]:
         """Return the endpoints where a suspect must not run next.
 
         Those are the ones that it may have crashed and those that run another
         suspect now.  The set is empty for a request that is no suspect.
         """
-        crashed = self.find_crashed(fingerprint, now_s)
+        crashed = self.find_crashed_endpoints(fingerprint, now_s)
         if not self._find(fingerprint, now_s):
             return set()
         taken = {
@@ -135,12 +135,12 @@
         if not running:
             self._running.pop(endpoint, None)
 
-    def find_crashed(self, fingerprint: int, now_s: float) -> set[str]:
+    def find_crashed_endpoints(self, fingerprint: int, now_s: float) -> set[str]:
         """Return the endpoints that this router saw a request crash."""
         crashes = self._find(fingerprint, now_s)
         return {crash.endpoint for crash in crashes if crash.endpoint}
 
-    def forget_endpoint(self, endpoint: str) -> None:
+    def observe_restart(self, endpoint: str) -> None:
         """Take that an endpoint has started anew; its crashes stay counted.
 
         The next crash there is a new one, however soon it comes.
--- a/src/tamarackrill/decisions/retry.py
+++ b/src/tamarackrill/decisions/retry.py
@@ -18,12 +18,12 @@
 BUDGET_SHARE = 0.1
 # At the start there is credit for what runs on one endpoint, by default eight slots:
 # it may crash before there were successes to pay for its requests.
-BUDGET_MIN = 8.0
+INITIAL_CREDIT = 8.0
 # Retries saved up: the failures of one endpoint's slots, not those of a whole pool.
 BUDGET_MAX = 20.0
 
 Outcome = Literal["not_sent", "refused", "overloaded", "cut"]
-RetryReason = Literal["retry", "may_have_run", "overload", "budget", "deadline"]
+RetryDecision = Literal["retry", "may_have_run", "overload", "budget", "deadline"]
 
 
 class Failure(NamedTuple):
@@ -49,7 +49,7 @@
     """Retries that one pool may still have."""
 
     def __init__(self) -> None:
-        self._credit = BUDGET_MIN
+        self._credit = INITIAL_CREDIT
 
     @property
     def credit(self) -> float:
@@ -62,7 +62,7 @@
 
     def decide(
         self, failure: Failure, pool_full: bool, time_left_s: float, service_s: float
-    ) -> RetryReason:
+    ) -> RetryDecision:
         """Decide whether to try again, and pay for it if so.
 
         Parameters
--- a/src/tamarackrill/decisions/retry_shares.py
+++ b/src/tamarackrill/decisions/retry_shares.py
@@ -38,7 +38,7 @@
             self._seen.popleft()
 
     @property
-    def most(self) -> int:
+    def largest(self) -> int:
         """Routers that may be spending the budget."""
         return self._seen[0][1] if self._seen else 1
 
@@ -74,11 +74,11 @@
         self._requests.append(now_s)
         self._forget(now_s)
 
-    def note_repeat(self, now_s: float) -> None:
+    def note_retry(self, now_s: float) -> None:
         """Count a request that is sent to one endpoint more."""
         self._repeats.append(now_s)
 
-    def count_left(self, routers: int, now_s: float) -> float:
+    def count_retries_left(self, routers: int, now_s: float) -> float:
         """Return how many repeats may still be sent now.
 
         Parameters
--- a/src/tamarackrill/router/chats.py
+++ b/src/tamarackrill/router/chats.py
@@ -8,24 +8,24 @@
 from collections.abc import Callable
 
 from tamarackrill.decisions.answers import (
-    Answers,
+    AnswerCache,
     Identity,
     expire,
+    finish,
     identify,
-    keep,
     look_up,
     start,
 )
 from tamarackrill.decisions.ordering import (
     Action,
     Arrived,
+    ChatOrder,
     Ended,
-    Order,
     Started,
-    arrive,
-    end,
+    handle_arrival,
+    handle_end,
+    handle_timeouts,
     next_due_s,
-    take_time,
 )
 from tamarackrill.events import REQUEST_JOINED, log_event
 from tamarackrill.exceptions import Refusal
@@ -47,9 +47,9 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._answers = Answers()
+        self._answers = AnswerCache()
         self._replies: dict[Identity, Reply] = {}
-        self._order = Order()
+        self._order = ChatOrder()
         self._turns: dict[str, asyncio.Future[Action]] = {}
         self._timer: asyncio.TimerHandle | None = None
 
@@ -99,7 +99,7 @@
         arrived = Arrived(
             call.request_id, call.home_key, call.sequence, call.deadline_s
         )
-        self._carry_out(arrive(self._order, arrived, now_s), now_s)
+        self._carry_out(handle_arrival(self._order, arrived, now_s), now_s)
         action = await turn
         if not isinstance(action, Started):
             status, message = _REFUSALS[action.code]
@@ -114,13 +114,13 @@
             ran = refusal is None or refusal.run == "unknown"
             ended = Ended(call.request_id, call.home_key, ran)
             self._turns.pop(call.request_id, None)
-            self._carry_out(end(self._order, ended, now_s), now_s)
+            self._carry_out(handle_end(self._order, ended, now_s), now_s)
         identity = _identify(call)
         if identity is not None:
             expires_s = now_s + call.contract.answers_kept_s
             is_kept = reply.is_whole or _is_held_out_of_turn(call, reply)
             self._forget(
-                keep(self._answers, identity, reply.size_bytes, is_kept, expires_s)
+                finish(self._answers, identity, reply.size_bytes, is_kept, expires_s)
             )
 
     async def run(self) -> None:
@@ -148,7 +148,7 @@
 
     def _take_time(self) -> None:
         now_s = self._clock()
-        self._carry_out(take_time(self._order, now_s), now_s)
+        self._carry_out(handle_timeouts(self._order, now_s), now_s)
 
 
 def _identify(call: Call) -> Identity | None:
--- a/src/tamarackrill/router/claiming.py
+++ b/src/tamarackrill/router/claiming.py
@@ -12,9 +12,9 @@
 from tamarackrill.contracts import CLAIM_KIND
 from tamarackrill.decisions.claim_buckets import (
     Entries,
+    decode_entries,
+    encode_entries,
     hash_claim_key,
-    read_entries,
-    write_entries,
 )
 from tamarackrill.decisions.claim_messages import (
     Action,
@@ -225,7 +225,7 @@
         self._step(BucketRead(action.bucket, version, entries))
 
     async def _write(self, action: WriteBucket) -> None:
-        value = write_entries(action.entries)
+        value = encode_entries(action.entries)
         expected = action.expected_version or None
         try:
             result = await self._platform.put(
@@ -256,7 +256,7 @@
     if found is None:
         return 0, {}
     try:
-        return found.version, read_entries(found.value)
+        return found.version, decode_entries(found.value)
     except (TypeError, AttributeError) as error:
         # Without claims that can be read, nothing may be sent.
         message = f"claims of {found.name} can't be read: {error}"
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -164,7 +164,7 @@
         self.flow = EdgeFlow(
             self.placer,
             settings.retry_budget,
-            lambda: self._fleet_size.most,
+            lambda: self._fleet_size.largest,
             self.metrics,
             self.clock,
         )
@@ -408,7 +408,9 @@
     def _tell_crash(self, fingerprint: int) -> None:
         # Gossip takes seconds to reach all, and the client of a request that crashes
         # endpoints sends it again at once, to any router.
-        crashes = len(self.placer.poison.find_crashed(fingerprint, self.clock()))
+        crashes = len(
+            self.placer.poison.find_crashed_endpoints(fingerprint, self.clock())
+        )
         for member in self.members.list_live():
             if member.name != self.members.own.name:
                 entries = Entries((CrashCount(fingerprint, crashes),))
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from tamarackrill.decisions.attempts import Outcome, Tried
-from tamarackrill.decisions.event_stream import EventStream, EventStreamFault
+from tamarackrill.decisions.attempts import AttemptHistory, Outcome
+from tamarackrill.decisions.event_stream import EventStream, EventStreamError
 from tamarackrill.decisions.waits import (
     ANSWER_SLACK_S,
     find_head_limit_s,
@@ -65,7 +65,7 @@
     def __init__(self, call: EdgeCall, reply: EdgeReply) -> None:
         self.call = call
         self.reply = reply
-        self.tried = Tried()
+        self.tried = AttemptHistory()
         self.avoid: set[str] = set()
         self.stream = EventStream(call.headers.last_event_id)
         self.last_endpoint = ""
@@ -144,7 +144,7 @@
             time_left_s=call.limit_s - started_s,
             copy_from="" if placed.copy_from is None else placed.copy_from.name,
         )
-        self._note_sent(call, progress.tried.has_arrived)
+        self._note_sent(call, progress.tried.was_delivered)
         self._placer.start(call, placed, started_s)
         is_clean = False
         suspecting = asyncio.get_running_loop().call_later(
@@ -213,7 +213,7 @@
                 result = await self._take(progress, placed, channel, head, facts)
         except TimeoutError:
             return Result("lost", "silent")
-        except (ChannelBroken, EventStreamFault) as error:
+        except (ChannelBroken, EventStreamError) as error:
             return Result("lost", str(error), is_broken=True)
         if channel.finish():
             self.pool.give_back(
--- a/src/tamarackrill/router/edge_flow.py
+++ b/src/tamarackrill/router/edge_flow.py
@@ -5,9 +5,9 @@
 from tornado.iostream import StreamClosedError
 
 from tamarackrill.decisions.attempts import (
-    Next,
+    NextStep,
     add_attempt,
-    choose_return_s,
+    choose_retry_after_s,
     decide_next,
 )
 from tamarackrill.decisions.retry_shares import BudgetTerms, RetryShare
@@ -71,7 +71,7 @@
         """Return what this router may still repeat, by service; for metrics."""
         routers, now_s = self._count_routers(), self._clock()
         return {
-            service: share.count_left(routers, now_s)
+            service: share.count_retries_left(routers, now_s)
             for service, share in self._retries.items()
         }
 
@@ -117,11 +117,11 @@
 
     def _note_sent(self, call: EdgeCall, is_repeat: bool) -> None:
         if is_repeat:
-            self._find_share(call.service).note_repeat(self._clock())
+            self._find_share(call.service).note_retry(self._clock())
 
     def _count_repeats_left(self, call: EdgeCall) -> float:
         share = self._find_share(call.service)
-        return share.count_left(self._count_routers(), self._clock())
+        return share.count_retries_left(self._count_routers(), self._clock())
 
     async def _follow(
         self, progress: Progress, placed: EdgePlaced, result: Result
@@ -132,7 +132,7 @@
         progress.tried = add_attempt(progress.tried, result.outcome)
         progress.avoid.add(placed.endpoint.name)
         left = self._count_repeats_left(call)
-        following: Next = decide_next(
+        following: NextStep = decide_next(
             result.outcome,
             progress.tried,
             call.route.may_repeat,
@@ -212,7 +212,7 @@
         if not tried.may_have_run:
             status = 503
             is_cut = reason in ("no_endpoint", "not_sent")
-            wait_s = retry_after_s or choose_return_s(
+            wait_s = retry_after_s or choose_retry_after_s(
                 call.request_id,
                 is_cut,
                 self._find_client_left_s(call),
--- a/src/tamarackrill/router/edge_placing.py
+++ b/src/tamarackrill/router/edge_placing.py
@@ -19,7 +19,7 @@
 from tamarackrill.decisions.loads import EndpointLoad
 from tamarackrill.decisions.misplaced import MisplacedEndpoints
 from tamarackrill.decisions.placement_news import Held
-from tamarackrill.decisions.poison import Poison
+from tamarackrill.decisions.poison import PoisonTracker
 from tamarackrill.decisions.pools import EndpointPool
 from tamarackrill.decisions.prefix_copies import COPY_TOKEN_MAX_S, PrefixCopies
 from tamarackrill.decisions.reach import Reach
@@ -125,7 +125,7 @@
             max(1.0, LOAD_CAP_SHARE * load_cap), cache=self.index, slack=LOAD_SLACK
         )
         self.health = Health()
-        self.poison = Poison()
+        self.poison = PoisonTracker()
         self.reach = Reach()
         self.copies = PrefixCopies(self.index)
         self.waits = EngineWaits()
@@ -244,7 +244,9 @@
         doubtful = self._find_barred(avoid, now_s)
         unsound = doubtful | self.health.find_kept_out(pool.by_name, now_s)
         unsound |= self._find_failing(call.service, pool, now_s)
-        suspected = unsound | self.poison.find_avoided(call.fingerprint, now_s)
+        suspected = unsound | self.poison.find_endpoints_to_avoid(
+            call.fingerprint, now_s
+        )
         return [pool.leave_out(names) for names in (suspected, unsound, doubtful)]
 
     def _find_failing(self, service: str, pool: EndpointPool, now_s: float) -> set[str]:
@@ -418,7 +420,7 @@
         self.health.remove(name)
         self.fleet_health.remove(name)
         self.misplaced.remove(name)
-        self.poison.forget_endpoint(name)
+        self.poison.observe_restart(name)
         self.reach.remove(name)
         self.waits.remove(name)
 
--- a/src/tamarackrill/router/flow.py
+++ b/src/tamarackrill/router/flow.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from tamarackrill.contracts import Endpoint
-from tamarackrill.decisions.retry import Failure, RetryBudget, RetryReason
+from tamarackrill.decisions.retry import Failure, RetryBudget, RetryDecision
 from tamarackrill.events import REQUEST_REFUSED, REQUEST_ROUTED, log_event
 from tamarackrill.exceptions import Refusal, RunState
 from tamarackrill.router.admitting import Admitter
@@ -160,7 +160,9 @@
         if attempt.outcome == "answered":
             self._find_budget(call).note_success()
 
-    def _decide_retry(self, call: Call, reply: Reply, attempt: Attempt) -> RetryReason:
+    def _decide_retry(
+        self, call: Call, reply: Reply, attempt: Attempt
+    ) -> RetryDecision:
         outcome = attempt.outcome
         assert outcome in ("refused", "not_sent", "cut")
         reason = self._find_budget(call).decide(
--- a/src/tamarackrill/router/orders.py
+++ b/src/tamarackrill/router/orders.py
@@ -23,8 +23,8 @@
 from tamarackrill.decisions.loading import (
     LoadOrder,
     PendingLoad,
-    drop_settled,
-    list_needed,
+    drop_finished_loads,
+    list_needed_models,
     plan_loads,
 )
 from tamarackrill.events import (
@@ -133,7 +133,7 @@
         except PlatformUnavailable:
             # A write may have taken effect; only a read can tell.  Until then the
             # lease that is held runs out, and with it the right to order.
-            self._lease.take_lost_write()
+            self._lease.handle_lost_write()
             return
         engines = [
             endpoint
@@ -141,17 +141,17 @@
             if endpoint.kind == "engine" and endpoint.state == "live"
         ]
         now_s = self._clock()
-        self._pending = drop_settled(self._pending, engines, now_s)
+        self._pending = drop_finished_loads(self._pending, engines, now_s)
         if not self._lease.may_order(now_s):
             return
-        needed = list_needed(self._fleet.list_contracts())
+        needed = list_needed_models(self._fleet.list_contracts())
         by_name = {engine.name: engine for engine in engines}
         for order in plan_loads(needed, engines, self._pending):
             await self._give(order, by_name[order.engine])
 
     async def _advance_lease(self) -> None:
         before = self._lease.holder
-        await self._act(self._lease.advance(self._clock()))
+        await self._act(self._lease.next_action(self._clock()))
         holder = self._lease.holder
         if holder != before:
             log_event(
@@ -166,13 +166,13 @@
             found = await self._platform.get(LEASE_KIND, LEASE_NAME)
             record = read_lease_record(found.value) if found else None
             version = found.version if found else None
-            self._lease.take_read(record, version, self._clock())
+            self._lease.handle_read(record, version, self._clock())
         elif isinstance(action, WriteLease):
             sent_s = self._clock()
             result = await self._platform.put(
                 LEASE_KIND, LEASE_NAME, action.record._asdict(), action.expected_version
             )
-            self._lease.take_write(action, result.version, sent_s, self._clock())
+            self._lease.handle_write(action, result.version, sent_s, self._clock())
 
     async def _give(self, order: LoadOrder, engine: Endpoint) -> None:
         now_s = self._clock()
@@ -201,7 +201,7 @@
             f"http://{engine.address}{ORDERS_PATH}",
             {"Content-Type": "application/json"},
             body,
-            self._timing.order_max_s,
+            self._timing.order_delivery_max_s,
             repeatable=False,
         )
         try:
--- a/src/tamarackrill/router/placing.py
+++ b/src/tamarackrill/router/placing.py
@@ -8,7 +8,7 @@
 from tamarackrill.decisions.poison import (
     CRASHES_MAX,
     CrashCount,
-    Poison,
+    PoisonTracker,
     shorten_fingerprint,
 )
 from tamarackrill.decisions.reservations import ASKS_MAX, must_ask
@@ -76,7 +76,7 @@
         self._known: set[str] = set()
         self.placement = Placement(load_factor)
         self.health = Health()
-        self.poison = Poison()
+        self.poison = PoisonTracker()
         self.tell_crash: Callable[[CrashCount], None] = lambda count: None
 
     def take_endpoints(self, now_s: float) -> None:
@@ -175,7 +175,9 @@
         names = [endpoint.name for endpoint in allowed]
         shares = self.health.find_shares(names, now_s)
         request = _make_request(call, self._zone)
-        suspected = self.poison.find_avoided(fingerprint, now_s).union(refused)
+        suspected = self.poison.find_endpoints_to_avoid(fingerprint, now_s).union(
+            refused
+        )
         choice = self.placement.choose(request, allowed, now_s, shares, suspected)
         if choice is not None:
             return choice
@@ -307,7 +309,7 @@
         self.health.observe_crash(endpoint, now_s)
         if not self.poison.observe_crash(fingerprint, endpoint, now_s):
             return
-        crashed = self.poison.find_crashed(fingerprint, now_s)
+        crashed = self.poison.find_crashed_endpoints(fingerprint, now_s)
         log_event(
             ENDPOINT_CRASHED,
             endpoint=endpoint,
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -6,15 +6,15 @@
     MISPLACED_MAX,
     RETURN_MIN_S,
     RETURN_SPREAD_S,
-    Tried,
+    AttemptHistory,
     add_attempt,
-    choose_return_s,
+    choose_retry_after_s,
     decide_next,
 )
 
 
 def follow(outcomes, may_repeat, attempts_max=2, repeats_left=9.0, time_left_s=1.0):
-    tried = Tried()
+    tried = AttemptHistory()
     for outcome in outcomes:
         tried = add_attempt(tried, outcome)
     return decide_next(
@@ -77,7 +77,7 @@
 def test_returns_are_spread():
     # A full service refuses a hundred requests in one moment.  Were all told the same
     # time, they would come back together and be refused together.
-    found = [choose_return_s(f"request-{n}", False, 3.0) for n in range(200)]
+    found = [choose_retry_after_s(f"request-{n}", False, 3.0) for n in range(200)]
     assert min(found) >= RETURN_MIN_S
     assert max(found) <= RETURN_MIN_S + RETURN_SPREAD_S
     assert len({round(wait_s, 1) for wait_s in found}) >= 5
@@ -88,7 +88,9 @@
     # A zone is cut off for six seconds.  A client that is told to come back at once
     # spends its one retry while nothing has changed; one that is told more than a third
     # of its time does not come back.
-    found = [choose_return_s(f"request-{n}", True, time_left_s) for n in range(200)]
+    found = [
+        choose_retry_after_s(f"request-{n}", True, time_left_s) for n in range(200)
+    ]
     assert max(found) <= time_left_s / 3
     assert min(found) >= 0.2 * time_left_s
 
@@ -96,7 +98,7 @@
 def test_client_of_a_cut_zone_comes_back_as_soon_as_it_is_sent_elsewhere():
     # The zone of a client is cut off, and the balancer will send it to another zone in
     # half a second. Told to come back by a share of its time, it would be late.
-    found = [choose_return_s(f"r-{n}", True, 15.0, 0.5) for n in range(200)]
+    found = [choose_retry_after_s(f"r-{n}", True, 15.0, 0.5) for n in range(200)]
     assert min(found) >= 0.5 and max(found) <= 0.5 + ELSEWHERE_SPREAD_S
-    short = [choose_return_s(f"r-{n}", True, 3.0, 2.0) for n in range(200)]
+    short = [choose_retry_after_s(f"r-{n}", True, 3.0, 2.0) for n in range(200)]
     assert max(short) < 3.0 / 3
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -5,7 +5,7 @@
 from tamarackrill.decisions.event_stream import (
     EVENT_MAX_BYTES,
     EventStream,
-    EventStreamFault,
+    EventStreamError,
 )
 from tamarackrill.testing.worker import make_event
 
@@ -62,7 +62,7 @@
     # A faulty endpoint sends bytes without an end.  Without a bound the router would
     # hold them all until it is killed, and all its clients lose their answers.
     stream = EventStream()
-    with pytest.raises(EventStreamFault):
+    with pytest.raises(EventStreamError):
         stream.take(b"x" * (EVENT_MAX_BYTES + 1))
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -4,7 +4,7 @@
 
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.incarnations import STARTS_KEPT, Incarnations
-from tamarackrill.decisions.poison import SAME_CRASH_S, Poison
+from tamarackrill.decisions.poison import CRASH_DEDUP_S, PoisonTracker
 from tamarackrill.testing.edge import EdgeFleet, ask, make_route
 from tamarackrill.testing.worker import make_streaming
 
@@ -57,12 +57,12 @@
     # A request crashes an engine, which is back at once, and crashes it again.  Both
     # crashes come from one name within seconds; counted as one, the request would go
     # on to take down other engines.
-    poison = Poison()
+    poison = PoisonTracker()
     assert poison.observe_crash(7, "a", 0.0)
     assert not poison.observe_crash(7, "a", 0.1)
-    poison.forget_endpoint("a")
-    assert poison.find_crashed(7, 0.2) == set()
-    assert poison.observe_crash(7, "a", SAME_CRASH_S / 2)
+    poison.observe_restart("a")
+    assert poison.find_crashed_endpoints(7, 0.2) == set()
+    assert poison.observe_crash(7, "a", CRASH_DEDUP_S / 2)
     assert [count.crashes for count in poison.digest(3.0)] == [2]
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -9,7 +9,7 @@
     WriteLease,
 )
 
-TIMING = LeaseTiming(lease_s=10.0, order_max_s=5.0)
+TIMING = LeaseTiming(lease_s=10.0, order_delivery_max_s=5.0)
 SEEDS = 150
 STEPS = 300
 
@@ -29,19 +29,19 @@
 
 
 def _step(lease, platform, rng, now_s):
-    action = lease.advance(now_s)
+    action = lease.next_action(now_s)
     if isinstance(action, ReadLease):
-        lease.take_read(platform.record, platform.version, now_s)
+        lease.handle_read(platform.record, platform.version, now_s)
     elif isinstance(action, WriteLease):
         fate = rng.choice(["answered", "answered", "answer lost", "dropped", "late"])
         if fate == "answered":
-            lease.take_write(action, platform.write(action), now_s, now_s)
+            lease.handle_write(action, platform.write(action), now_s, now_s)
             return
         if fate == "answer lost":
             platform.write(action)
         if fate == "late":
             platform.delayed.append(action)
-        lease.take_lost_write()
+        lease.handle_lost_write()
 
 
 def _play(make_lease, seed):
@@ -65,7 +65,9 @@
     # One holder sends its orders one after the other; only those of two can cross.
     for at_s, fence, holder in orders:
         late += any(
-            other > fence and by is not holder and begun_s < at_s + TIMING.order_max_s
+            other > fence
+            and by is not holder
+            and begun_s < at_s + TIMING.order_delivery_max_s
             for begun_s, other, by in orders
         )
     return late, len(orders)
@@ -86,7 +88,7 @@
 
 
 class _CountsFromAnswer(Lease):
-    def take_lost_write(self):
+    def handle_lost_write(self):
         self._valid_until_s += self._timing.lease_s
 
 
@@ -111,5 +113,5 @@
     first, second = _make("r/1"), _make("r/2")
     for now_s in (0.0, 0.1):
         _step(first, platform, random.Random(1), now_s)
-    second.take_read(platform.record, platform.version, 0.2)
+    second.handle_read(platform.record, platform.version, 0.2)
     assert not second.may_order(0.2)
--- a/tests/test_loading.py
+++ b/tests/test_loading.py
@@ -5,8 +5,8 @@
     LOAD_MAX_S,
     LoadOrder,
     PendingLoad,
-    drop_settled,
-    list_needed,
+    drop_finished_loads,
+    list_needed_models,
     plan_loads,
 )
 
@@ -54,7 +54,7 @@
             )
             for engine in engines
         ]
-        pending = drop_settled(pending, engines, now_s)
+        pending = drop_finished_loads(pending, engines, now_s)
     assert most == 1
     assert {model for engine in engines for model in engine.serves} == set("abcdef")
 
@@ -64,8 +64,8 @@
     # model, and its callers would be refused for good.
     engines = [_engine("1", room=2), _engine("2", room=2)]
     pending = {"1": PendingLoad(LoadOrder("1", "a"), 0.0)}
-    assert drop_settled(pending, engines, LOAD_MAX_S - 1) == pending
-    assert drop_settled(pending, engines, LOAD_MAX_S) == {}
+    assert drop_finished_loads(pending, engines, LOAD_MAX_S - 1) == pending
+    assert drop_finished_loads(pending, engines, LOAD_MAX_S) == {}
 
 
 def test_most_named_model_comes_first():
@@ -73,4 +73,4 @@
         Contract("t", (), models=("b",)),
         Contract("u", (), models=("a", "b")),
     ]
-    assert list_needed(contracts) == ["b", "a"]
+    assert list_needed_models(contracts) == ["b", "a"]
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -13,18 +13,18 @@
     """One chat at its home, with a request named after each sequence."""
 
     def __init__(self):
-        self.order = ordering.Order()
+        self.order = ordering.ChatOrder()
 
     def arrive(self, sequence, now_s=0.0, name=""):
         request = name or f"r{sequence}"
         message = Arrived(request, CHAT, sequence, DEADLINE_S)
-        return ordering.arrive(self.order, message, now_s)
+        return ordering.handle_arrival(self.order, message, now_s)
 
     def end(self, sequence, ran=True, now_s=0.0):
-        return ordering.end(self.order, Ended(f"r{sequence}", CHAT, ran), now_s)
+        return ordering.handle_end(self.order, Ended(f"r{sequence}", CHAT, ran), now_s)
 
     def wait(self, now_s):
-        return ordering.take_time(self.order, now_s)
+        return ordering.handle_timeouts(self.order, now_s)
 
 
 @given(st.permutations(range(1, 7)))
@@ -107,9 +107,9 @@
 
 def test_memory_of_chats_is_bounded(monkeypatch):
     monkeypatch.setattr(ordering, "CHATS_MAX", 3)
-    order = ordering.Order()
+    order = ordering.ChatOrder()
     for number in range(10):
         message = Arrived("r", f"chat-{number}", 1, DEADLINE_S)
-        ordering.arrive(order, message, 0.0)
-        ordering.end(order, Ended("r", f"chat-{number}", True), 0.0)
+        ordering.handle_arrival(order, message, 0.0)
+        ordering.handle_end(order, Ended("r", f"chat-{number}", True), 0.0)
     assert list(order.chats) == ["chat-7", "chat-8", "chat-9"]
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -3,7 +3,7 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions import poison as p
 from tamarackrill.decisions.health import Health
-from tamarackrill.decisions.poison import CrashCount, Poison
+from tamarackrill.decisions.poison import CrashCount, PoisonTracker
 from tamarackrill.decisions.routing import Placement, PlacementRequest
 from tamarackrill.exceptions import Refusal
 
@@ -18,12 +18,16 @@
 
     def __init__(self, name):
         self.name = name
-        self.poison, self.health, self.placement = Poison(), Health(), Placement(2.0)
+        self.poison, self.health, self.placement = (
+            PoisonTracker(),
+            Health(),
+            Placement(2.0),
+        )
 
     def send(self, fingerprint, now_s):
         """Return the endpoint, or raise the refusal that the caller receives."""
         self.poison.check(fingerprint, now_s)
-        avoided = self.poison.find_avoided(fingerprint, now_s)
+        avoided = self.poison.find_endpoints_to_avoid(fingerprint, now_s)
         allowed = set(self.health.find_allowed(POOL, now_s)) - avoided
         live = [endpoint for endpoint in ENDPOINTS if endpoint.name in allowed]
         request = PlacementRequest("key", "chat")
@@ -32,7 +36,7 @@
     def crash(self, fingerprint, endpoint, now_s):
         self.health.observe_crash(endpoint, now_s)
         self.poison.observe_crash(fingerprint, endpoint, now_s)
-        crashed = self.poison.find_crashed(fingerprint, now_s)
+        crashed = self.poison.find_crashed_endpoints(fingerprint, now_s)
         if len(crashed) >= p.CRASHES_MAX:
             for name in crashed:
                 self.health.forgive(name, now_s)
@@ -84,14 +88,14 @@
     assert {"engine-0", *places.values()} == set(POOL)
     router.poison.finish(INNOCENT[0], places[INNOCENT[0]])
     router.poison.observe_success(INNOCENT[0])
-    assert router.poison.find_avoided(INNOCENT[0], 2.0) == set()
-    assert places[INNOCENT[0]] not in router.poison.find_avoided(BAD, 2.0)
+    assert router.poison.find_endpoints_to_avoid(INNOCENT[0], 2.0) == set()
+    assert places[INNOCENT[0]] not in router.poison.find_endpoints_to_avoid(BAD, 2.0)
 
 
 def test_one_crash_counts_once_and_a_second_at_the_same_endpoint_again():
     # A pool of one: the stream breaks, and each try to resume it fails at once, which
     # is one crash.  After the engine's restart the caller sends the request again.
-    poison = Poison()
+    poison = PoisonTracker()
     assert poison.observe_crash(BAD, "only", 0.0)
     assert not poison.observe_crash(BAD, "only", 1.0)
     poison.check(BAD, 2.0)
@@ -114,7 +118,7 @@
 
 
 def test_fingerprints_are_bounded():
-    poison = Poison()
+    poison = PoisonTracker()
     for number in range(p.FINGERPRINTS_KEPT + 10):
         poison.observe_crash(number, "e", float(number) / 100)
     assert len(poison) == p.FINGERPRINTS_KEPT
--- a/tests/test_retry_shares.py
+++ b/tests/test_retry_shares.py
@@ -17,14 +17,14 @@
     share = RetryShare(TERMS)
     for _ in range(100):
         share.note_request(0.0)
-    assert share.count_left(8, 1.0) == pytest.approx(MARGIN * (20 + 7))
+    assert share.count_retries_left(8, 1.0) == pytest.approx(MARGIN * (20 + 7))
 
 
 def test_what_left_the_window_counts_no_more():
     share = RetryShare(TERMS)
     share.note_request(0.0)
-    share.note_repeat(0.0)
-    assert share.count_left(8, 10.1) == pytest.approx(MARGIN * 7)
+    share.note_retry(0.0)
+    assert share.count_retries_left(8, 10.1) == pytest.approx(MARGIN * 7)
 
 
 @given(
@@ -42,8 +42,8 @@
         now_s += pause_s
         shares[router].note_request(now_s)
         requests.append(now_s)
-        while shares[router].count_left(8, now_s) >= 1.0:
-            shares[router].note_repeat(now_s)
+        while shares[router].count_retries_left(8, now_s) >= 1.0:
+            shares[router].note_retry(now_s)
             repeats.append(now_s)
     for end_s in repeats:
         window = [t for t in repeats if end_s - TERMS.window_s < t <= end_s]
@@ -58,14 +58,14 @@
     size = FleetSize()
     size.observe(8, 0.0)
     size.observe(2, 6.0)
-    assert size.most == 8
+    assert size.largest == 8
     size.observe(2, REMEMBERED_S + 1.0)
-    assert size.most == 2
+    assert size.largest == 2
 
 
 def test_new_routers_count_at_once():
     size = FleetSize()
-    assert size.most == 1
+    assert size.largest == 1
     size.observe(2, 0.0)
     size.observe(9, 0.1)
-    assert size.most == 9
+    assert size.largest == 9
--- a/tests/test_retrying.py
+++ b/tests/test_retrying.py
@@ -3,14 +3,14 @@
 import pytest
 
 from tamarackrill.contracts import hash_key
-from tamarackrill.decisions.retry import BUDGET_MIN
+from tamarackrill.decisions.retry import INITIAL_CREDIT
 from tamarackrill.testing.processes import FleetProcesses, call, wait_for
 
 CALLS = 30
 
 
 @pytest.mark.parametrize(
-    ("status", "arrivals_max"), [(500, CALLS + BUDGET_MIN), (503, CALLS)]
+    ("status", "arrivals_max"), [(500, CALLS + INITIAL_CREDIT), (503, CALLS)]
 )
 def test_failing_engines_get_hardly_more_than_their_callers_send(status, arrivals_max):
     # Every engine fails what it is sent.  With two further tries for each call, the
