--- a/src/tamarackrill/decisions/claim_buckets.py
+++ b/src/tamarackrill/decisions/claim_buckets.py
@@ -1,12 +1,12 @@
-"""Buckets: the objects of the platform that hold claims.
+"""Buckets: the platform objects that store claims.
 
-A claim is the platform's record that one attempt may run one non-idempotent
-request.  Claims stand in a fixed number of buckets, found by the hash of team and
-idempotency key, so that many claims go in one write.
+A claim records on the platform that one attempt may run one non-idempotent request.
+Claims are stored in a fixed number of buckets, selected by the hash of team and
+idempotency key, so that one write can carry many claims.
 
-Load pattern: many requests a second, each with a key of its own, from all routers.
-Without grouping, each would cost one conditional write, and the platform takes
-several hundred a second.  The grounds of the figures are in docs/design/claims.md.
+Load pattern: many requests per second from all routers, each with its own key. Without
+batching, each request would cost one conditional write, and the platform handles only
+several hundred per second. See docs/design/claims.md for the calculations.
 """
 
 import hashlib
@@ -14,18 +14,21 @@
 from typing import Any, Literal, NamedTuple
 
 BUCKETS = 16
-"""Number of buckets.  A change moves keys to other buckets, where their claims are
-not found: it needs a fleet that accepted no non-idempotent request for `CLAIM_KEPT_S`.
-"""
+"""Number of buckets. Changing it moves keys to other buckets, where their existing
+claims are not found, so the fleet must not have accepted any non-idempotent request for
+`CLAIM_TTL_S` before the change."""
 
-CLAIM_KEPT_S = 3600.0
-"""How long a claim lasts at least.  A key sent again after that may run again."""
+CLAIM_TTL_S = 3600.0
+"""Minimum lifetime of a claim. A key that is sent again after it expired may run again.
+"""
 
 CLOCK_SKEW_MAX_S = 300.0
-"""Added to the life of a claim, since another VM's clock decides when it is over."""
+"""Added to the lifetime of a claim, because another VM's clock decides when it has
+expired."""
 
 BUCKET_CLAIMS_MAX = 6000
-"""Claims in one bucket; at some 93 bytes each a value stays below 0.6 MB."""
+"""Maximum number of claims in one bucket; at about 93 bytes each, the object stays
+below 0.6 MB."""
 
 ClaimState = Literal["claimed", "done"]
 
@@ -36,9 +39,9 @@
     Parameters
     ----------
     attempt : str
-        Identity of the attempt that may run: ``router/incarnation/number``.
+        Identity of the attempt that may run the request: ``router/incarnation/number``.
     state : {"claimed", "done"}
-        ``"done"`` once the endpoint's whole answer was received.
+        ``"done"`` once the endpoint's complete response was received.
     expires_s : float
         Wall-clock time after which the entry may be removed.
     """
@@ -54,7 +57,7 @@
 class AddClaim(NamedTuple):
     """Add a claim unless another attempt holds the key.
 
-    `may_stand` says that a write with it went out whose answer was lost.
+    `may_be_stored` is true if a write that contained it went unanswered.
     """
 
     request: int
@@ -64,11 +67,11 @@
     wait_until_s: float
     deadline_s: float
     expires_s: float
-    may_stand: bool = False
+    may_be_stored: bool = False
 
 
 class DropClaim(NamedTuple):
-    """Remove the claim of an attempt that has not sent and never will."""
+    """Remove the claim of an attempt that has not sent its request and never will."""
 
     key_hash: str
     attempt: str
@@ -76,7 +79,7 @@
 
 
 class MarkDone(NamedTuple):
-    """Note that the attempt's answer was received whole."""
+    """Record that the attempt received a complete response."""
 
     key_hash: str
     attempt: str
@@ -86,8 +89,8 @@
 Change = AddClaim | DropClaim | MarkDone
 
 
-class Merge(NamedTuple):
-    """What a list of changes makes of a bucket.
+class MergeResult(NamedTuple):
+    """Result of applying a list of changes to a bucket.
 
     Parameters
     ----------
@@ -96,30 +99,30 @@
     changed : bool
         Whether a write is needed.
     added : list of AddClaim
-        Granted once the write is known to have taken effect.
-    own : list of AddClaim
-        Found in the bucket already under their own attempt.
+        To be granted once the write is known to have taken effect.
+    already_stored : list of AddClaim
+        Already in the bucket under the same attempt.
     held : list of (AddClaim, Claim)
         Another attempt holds the key.
     full : list of AddClaim
-        No room.
-    later : list of Change
-        Wait for the changes of `added`, on which they depend.
+        Rejected because the bucket is full.
+    deferred : list of Change
+        Must wait until the changes in `added`, on which they depend, are written.
     """
 
     entries: Entries
     changed: bool
     added: list[AddClaim]
-    own: list[AddClaim]
+    already_stored: list[AddClaim]
     held: list[tuple[AddClaim, Claim]]
     full: list[AddClaim]
-    later: list[Change]
+    deferred: list[Change]
 
 
 def hash_claim_key(team: str, idempotency_key: str) -> str:
-    """Return the name of a claim within its bucket, 24 hexadecimal digits."""
-    # The length before the team keeps ("ab", "c") and ("a", "bc") apart: else one
-    # team's key could be answered with another team's answer.
+    """Return the key of a claim within its bucket, 24 hexadecimal digits."""
+    # The length prefix keeps ("ab", "c") and ("a", "bc") apart. Without it one team's
+    # key could get another team's response.
     text = f"{len(team)}:{team}:{idempotency_key}"
     return hashlib.sha256(text.encode()).hexdigest()[:24]
 
@@ -134,30 +137,32 @@
     return f"{router}/{incarnation}/{number}"
 
 
-def find_holder(attempt: str) -> tuple[str, str]:
-    """Return the router and the incarnation that made an attempt."""
+def parse_attempt(attempt: str) -> tuple[str, str]:
+    """Return the router and the incarnation of an attempt."""
     router, incarnation, _ = attempt.rsplit("/", 2)
     return router, incarnation
 
 
 def decode_entries(value: Mapping[str, Any] | None) -> Entries:
-    """Return the claims in an object's value; an absent object has none."""
+    """Return the claims in an object's value; a missing object has none."""
     claims = (value or {}).get("claims", {})
     return {key_hash: Claim(*fields) for key_hash, fields in claims.items()}
 
 
 def encode_entries(entries: Entries) -> dict[str, Any]:
-    """Return the object's value for claims."""
+    """Return the object value that stores the claims."""
     return {"claims": {key_hash: list(claim) for key_hash, claim in entries.items()}}
 
 
-def merge_changes(entries: Entries, changes: Sequence[Change], now_s: float) -> Merge:
-    """Return what `changes`, in their order, make of a bucket.
+def merge_changes(
+    entries: Entries, changes: Sequence[Change], now_s: float
+) -> MergeResult:
+    """Apply `changes` to a bucket in order and return the result.
 
     Parameters
     ----------
     entries : dict
-        The bucket as last known; left as it is.
+        The bucket as last known; not modified.
     changes : sequence of Change
         Changes of this router.
     now_s : float
@@ -165,29 +170,29 @@
 
     Returns
     -------
-    Merge
+    MergeResult
     """
     kept = {key: claim for key, claim in entries.items() if claim.expires_s > now_s}
-    merge = Merge(kept, False, [], [], [], [], [])
+    merge = MergeResult(kept, False, [], [], [], [], [])
     changed = False
     added_keys: set[str] = set()
     for change in changes:
         if change.key_hash in added_keys:
-            merge.later.append(change)
+            merge.deferred.append(change)
         elif isinstance(change, AddClaim):
-            if _add(merge, change):
+            if _add_claim(merge, change):
                 added_keys.add(change.key_hash)
                 changed = True
         else:
-            changed = _end(kept, change) or changed
+            changed = _remove_or_mark_done(kept, change) or changed
     return merge._replace(changed=changed)
 
 
-def _add(merge: Merge, change: AddClaim) -> bool:
+def _add_claim(merge: MergeResult, change: AddClaim) -> bool:
     found = merge.entries.get(change.key_hash)
     if found is not None:
         if found.attempt == change.attempt:
-            merge.own.append(change)
+            merge.already_stored.append(change)
         else:
             merge.held.append((change, found))
         return False
@@ -200,10 +205,10 @@
     return True
 
 
-def _end(entries: Entries, change: DropClaim | MarkDone) -> bool:
+def _remove_or_mark_done(entries: Entries, change: DropClaim | MarkDone) -> bool:
     found = entries.get(change.key_hash)
-    # Only the attempt's own entry may be touched.  Were another attempt's removed,
-    # its request could be run a second time.
+    # Only modify the attempt's own entry. Removing another attempt's entry would allow
+    # its request to run a second time.
     if found is None or found.attempt != change.attempt:
         return False
     if isinstance(change, DropClaim):
--- a/src/tamarackrill/decisions/claim_messages.py
+++ b/src/tamarackrill/decisions/claim_messages.py
@@ -1,4 +1,4 @@
-"""Messages that the claims of a router take, and the actions that they give."""
+"""Messages consumed and actions produced by the claim state machine."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class ClaimRequested(NamedTuple):
-    """A non-idempotent request came in."""
+    """A non-idempotent request arrived."""
 
     request: int
     key_hash: str
@@ -14,7 +14,7 @@
 
 
 class RunEnded(NamedTuple):
-    """The attempt's run is over; `sent` if a byte may have reached an endpoint."""
+    """The attempt has ended; `sent` if a byte may have reached an endpoint."""
 
     key_hash: str
     attempt: str
@@ -22,7 +22,7 @@
 
 
 class BucketRead(NamedTuple):
-    """The platform answered a read; version 0 means that there is no object."""
+    """The platform responded to a read; version 0 means that there is no object."""
 
     bucket: str
     version: int
@@ -30,7 +30,7 @@
 
 
 class ReadFailed(NamedTuple):
-    """The platform did not answer a read."""
+    """The platform did not respond to a read."""
 
     bucket: str
 
@@ -43,7 +43,7 @@
 
 
 class WriteConflicted(NamedTuple):
-    """A write met another version; with the bucket as it stands there."""
+    """A write failed on a version mismatch; carries the bucket's current contents."""
 
     bucket: str
     version: int
@@ -51,13 +51,13 @@
 
 
 class WriteUnanswered(NamedTuple):
-    """Whether a write took effect is unknown."""
+    """A write got no response, so it is unknown whether it took effect."""
 
     bucket: str
 
 
 class TimePassed(NamedTuple):
-    """The time that `next_due_s` named has come."""
+    """The time returned by `next_due_s` has been reached."""
 
 
 Message = (
@@ -87,7 +87,7 @@
 
 
 class Granted(NamedTuple):
-    """The request may be sent, once, while `may_send` says so."""
+    """The request may be sent once, as long as `may_send` permits it."""
 
     request: int
     key_hash: str
@@ -104,7 +104,7 @@
 
 
 class Refused(NamedTuple):
-    """The request gets no claim and was not sent."""
+    """The request got no claim and was not sent."""
 
     request: int
     code: str
--- a/src/tamarackrill/decisions/claims.py
+++ b/src/tamarackrill/decisions/claims.py
@@ -1,23 +1,23 @@
-"""At most once: claim a non-idempotent request before any byte of it is sent.
+"""At-most-once execution: claim a non-idempotent request before sending it.
 
-A request may be sent only by the attempt that stands in its claim on the platform.
-The claim is added by a conditional update, so that of two routers that both want to
-run a request one meets a version conflict and then finds the other's claim.  Leases
-and clocks play no part in this; the clock only decides when an old claim is removed.
+A request may be sent only by the attempt recorded in its claim on the platform. Claims
+are added with a conditional update, so when two routers want to run the same request,
+one of them gets a version conflict and then finds the other's claim. Correctness does
+not depend on leases or clocks; the clock only decides when an expired claim is removed.
 
-Load pattern: a burst of requests that may not repeat, each resent through every
-router at once, while routers are killed or frozen and the platform loses the answers
-to writes.  Without the claim a booking would be confirmed twice.
+Load pattern: a burst of non-idempotent requests, each resent through every router at
+once, while routers crash or freeze and the platform loses responses to writes. Without
+claims a booking could be confirmed twice.
 
-`step` takes a message and returns actions.  Each `ReadBucket` and `WriteBucket` is
-answered by exactly one message.  ``now_s`` is wall-clock time in all of them, since
-the expiry of claims is compared between VMs.
+`step` takes a message and returns actions. Each `ReadBucket` and `WriteBucket` must be
+answered by exactly one message. ``now_s`` is wall-clock time throughout, because claim
+expiry is compared between VMs.
 """
 
 from collections.abc import Collection
 
 from tamarackrill.decisions.claim_buckets import (
-    CLAIM_KEPT_S,
+    CLAIM_TTL_S,
     CLOCK_SKEW_MAX_S,
     AddClaim,
     Change,
@@ -25,9 +25,9 @@
     Entries,
     MarkDone,
     find_bucket,
-    find_holder,
     format_attempt,
     merge_changes,
+    parse_attempt,
 )
 from tamarackrill.decisions.claim_messages import (
     Action,
@@ -46,35 +46,37 @@
     WriteConflicted,
 )
 
-GATHER_S = 0.02
-"""How long claims of one bucket are gathered for one write.  A router writes a bucket
-at most 1 / (gather + answer time) times a second, whatever the rate of claims."""
+BATCH_DELAY_S = 0.02
+"""How long claims of one bucket are collected into one write. A router writes a bucket
+at most 1 / (batch delay + response time) times per second, whatever the claim rate."""
 
-DONE_GATHER_S = 5.0
-"""How long a mark of a finished run waits for another write to ride on."""
+DONE_BATCH_DELAY_S = 5.0
+"""How long a done mark waits to be included in another write."""
 
 CLAIM_WAIT_MAX_S = 2.0
-"""Longest wait for a claim; a slow platform must not eat the whole deadline."""
+"""Longest wait for a claim, so that a slow platform does not use up the whole deadline.
+"""
 
-WRITES_MAX = 8
-"""Writes for one group of claims; past it too many routers write the same bucket."""
+WRITE_ATTEMPTS_MAX = 8
+"""Write attempts for one batch of claims. Beyond this, too many routers are writing the
+same bucket."""
 
 QUEUE_MAX = 2048
-"""Changes that wait in one bucket."""
+"""Maximum number of changes queued for one bucket."""
 
-OUTAGE_S = 1.0
-"""After the platform failed to answer, claims are refused without asking it for this
-long: else each request would wait for a timeout of its own."""
+OUTAGE_BACKOFF_S = 1.0
+"""How long claims are refused without contacting the platform after it failed to
+respond. Otherwise every request would wait for its own timeout."""
 
 CACHED_CLAIMS_MAX = 20_000
-"""Claims held in memory, over all buckets; about 280 bytes each."""
+"""Claims cached in memory over all buckets, about 280 bytes each."""
 
-RETRY_BUSY_S = 0.5
-RETRY_FULL_S = 60.0
+RETRY_AFTER_BUSY_S = 0.5
+RETRY_AFTER_FULL_S = 60.0
 
 
 class Bucket:
-    """What one router knows of one bucket and wants of it."""
+    """One router's cached copy of a bucket and its pending changes."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -84,21 +86,21 @@
         self.is_fresh = False
         self.queue: list[Change] = []
         self.in_flight: list[Change] = []
-        self.written: Entries = {}
+        self.pending_entries: Entries = {}
         self.writes = 0
-        self.used_s = 0.0
+        self.last_used_s = 0.0
 
 
 class Claims:
-    """State of the claims of one router.
+    """Claim state of one router.
 
     Parameters
     ----------
     router : str
         Name of the router.
     incarnation : str
-        Differs for each start of the router; without it, a router that was
-        restarted would take the claims of its earlier self for its own.
+        Unique for each start of the router. Without it a restarted router would mistake
+        claims of its previous process for its own.
     """
 
     def __init__(self, router: str, incarnation: str) -> None:
@@ -110,57 +112,57 @@
 
 
 def step(claims: Claims, message: Message, now_s: float) -> list[Action]:
-    """Take one message.
+    """Process one message.
 
     Parameters
     ----------
     claims : Claims
-        State, changed in place.
+        State, modified in place.
     message : Message
-        What happened.
+        The event to process.
     now_s : float
         Wall-clock time.
 
     Returns
     -------
     list of Action
-        In the order in which they are to be carried out.
+        Actions to perform, in order.
     """
     if isinstance(message, TimePassed):
-        return _take_time(claims, now_s)
+        return _handle_timer(claims, now_s)
     if isinstance(message, ClaimRequested):
-        return _take_request(claims, message, now_s)
+        return _handle_request(claims, message, now_s)
     if isinstance(message, RunEnded):
-        return _take_end(claims, message, now_s)
+        return _handle_run_end(claims, message, now_s)
     bucket = claims.buckets[message.bucket]
     if isinstance(message, BucketRead):
-        return _take_bucket(claims, bucket, message, now_s)
+        return _handle_read(claims, bucket, message, now_s)
     if isinstance(message, ReadFailed):
-        return _take_outage(claims, bucket, now_s)
+        return _handle_read_failure(claims, bucket, now_s)
     if isinstance(message, BucketWritten):
-        return _take_written(claims, bucket, message, now_s)
+        return _handle_written(claims, bucket, message, now_s)
     if isinstance(message, WriteConflicted):
-        return _take_conflict(claims, bucket, message, now_s)
-    return _take_unanswered(bucket)
+        return _handle_conflict(claims, bucket, message, now_s)
+    return _handle_unanswered_write(bucket)
 
 
 def may_send(grant: Granted, now_s: float) -> bool:
-    """Return whether a granted request may be sent now.
+    """Return whether a granted request may still be sent.
 
-    To be asked right before the first byte is sent.  A router that was frozen after
-    the grant would otherwise send when nobody waits for the answer any more, or even
-    when its claim has expired and another router has run the request.
+    Call this right before the first byte is sent. A router that froze after the grant
+    could otherwise send after the client stopped waiting, or even after its claim
+    expired and another router ran the request.
     """
     return now_s < grant.send_until_s
 
 
 def next_due_s(claims: Claims) -> float | None:
-    """Return when `TimePassed` is next due, or None."""
+    """Return when `TimePassed` should next be delivered, or None."""
     return min(
         (
             due
             for bucket in claims.buckets.values()
-            for due in _list_dues(claims, bucket)
+            for due in _list_due_times(claims, bucket)
         ),
         default=None,
     )
@@ -169,92 +171,93 @@
 def find_router_to_ask(
     claims: Claims, held: Held, live_routers: Collection[str]
 ) -> str:
-    """Return the live router that made a claim, or an empty string.
+    """Return the live router that holds a claim, or an empty string.
 
-    That router runs the request or keeps its answer.  Without one, or if this router
-    itself made the claim and knows nothing of it any more, the outcome is unknown.
+    That router is running the request or has its response. The outcome is unknown if
+    the router is not live, or if it is this router, which would have found the request
+    locally if it still knew it.
     """
-    router, _ = find_holder(held.claim.attempt)
+    router, _ = parse_attempt(held.claim.attempt)
     return router if router != claims.router and router in live_routers else ""
 
 
-def _list_dues(claims: Claims, bucket: Bucket) -> list[float]:
-    waits = [
+def _list_due_times(claims: Claims, bucket: Bucket) -> list[float]:
+    wait_limits = [
         change.wait_until_s
         for change in bucket.queue + bucket.in_flight
         if isinstance(change, AddClaim)
     ]
-    starts = [max(change.due_s, claims.outage_until_s) for change in bucket.queue]
-    return waits + (starts if bucket.phase == "idle" else [])
+    batch_starts = [max(change.due_s, claims.outage_until_s) for change in bucket.queue]
+    return wait_limits + (batch_starts if bucket.phase == "idle" else [])
 
 
-def _take_request(
+def _handle_request(
     claims: Claims, message: ClaimRequested, now_s: float
 ) -> list[Action]:
     if now_s >= message.deadline_s:
-        return [Refused(message.request, "deadline_passed", RETRY_BUSY_S)]
+        return [Refused(message.request, "deadline_passed", RETRY_AFTER_BUSY_S)]
     if now_s < claims.outage_until_s:
         return [_refuse_outage(claims, message.request, now_s)]
-    bucket = _open_bucket(claims, message.key_hash)
+    bucket = _get_or_create_bucket(claims, message.key_hash)
     if len(bucket.queue) >= QUEUE_MAX:
-        return [Refused(message.request, "claims_busy", RETRY_BUSY_S)]
+        return [Refused(message.request, "claims_busy", RETRY_AFTER_BUSY_S)]
     claims.attempts += 1
     change = AddClaim(
         request=message.request,
         key_hash=message.key_hash,
         attempt=format_attempt(claims.router, claims.incarnation, claims.attempts),
-        due_s=now_s + GATHER_S,
+        due_s=now_s + BATCH_DELAY_S,
         wait_until_s=min(message.deadline_s, now_s + CLAIM_WAIT_MAX_S),
         deadline_s=message.deadline_s,
-        expires_s=message.deadline_s + CLAIM_KEPT_S + CLOCK_SKEW_MAX_S,
+        expires_s=message.deadline_s + CLAIM_TTL_S + CLOCK_SKEW_MAX_S,
     )
     bucket.queue.append(change)
-    return _advance(claims, bucket, now_s)
+    return _process_queue(claims, bucket, now_s)
 
 
-def _take_end(claims: Claims, message: RunEnded, now_s: float) -> list[Action]:
-    bucket = _open_bucket(claims, message.key_hash)
+def _handle_run_end(claims: Claims, message: RunEnded, now_s: float) -> list[Action]:
+    bucket = _get_or_create_bucket(claims, message.key_hash)
     if message.sent:
-        done = MarkDone(message.key_hash, message.attempt, now_s + DONE_GATHER_S)
+        done = MarkDone(message.key_hash, message.attempt, now_s + DONE_BATCH_DELAY_S)
         _enqueue(bucket, done)
     else:
-        drop = DropClaim(message.key_hash, message.attempt, now_s + GATHER_S)
+        drop = DropClaim(message.key_hash, message.attempt, now_s + BATCH_DELAY_S)
         _enqueue(bucket, drop)
-    return _advance(claims, bucket, now_s)
+    return _process_queue(claims, bucket, now_s)
 
 
-def _take_time(claims: Claims, now_s: float) -> list[Action]:
+def _handle_timer(claims: Claims, now_s: float) -> list[Action]:
     actions: list[Action] = []
     for bucket in list(claims.buckets.values()):
-        late = [
+        timed_out = [
             change
             for change in bucket.queue + bucket.in_flight
             if isinstance(change, AddClaim) and change.wait_until_s <= now_s
         ]
-        for change in late:
-            actions.append(Refused(change.request, "claim_timeout", RETRY_BUSY_S))
-            _abandon(bucket, change, now_s)
-        actions += _advance(claims, bucket, now_s)
-    _shrink_cache(claims)
+        for change in timed_out:
+            actions.append(Refused(change.request, "claim_timeout", RETRY_AFTER_BUSY_S))
+            _cancel_claim(bucket, change, now_s)
+        actions += _process_queue(claims, bucket, now_s)
+    _evict_cached_entries(claims)
     return actions
 
 
-def _take_bucket(
+def _handle_read(
     claims: Claims, bucket: Bucket, message: BucketRead, now_s: float
 ) -> list[Action]:
-    _learn(bucket, message.version, message.entries)
-    return _merge(claims, bucket, now_s)
+    _update_entries(bucket, message.version, message.entries)
+    return _merge_queue(claims, bucket, now_s)
 
 
-def _take_conflict(
+def _handle_conflict(
     claims: Claims, bucket: Bucket, message: WriteConflicted, now_s: float
 ) -> list[Action]:
     _requeue(bucket)
-    _learn(bucket, message.version, message.entries)
-    return _merge(claims, bucket, now_s)
+    _update_entries(bucket, message.version, message.entries)
+    return _merge_queue(claims, bucket, now_s)
 
 
-def _take_written(
+def _handle_written(
     claims: Claims, bucket: Bucket, message: BucketWritten, now_s: float
 ) -> list[Action]:
     actions = [
@@ -264,71 +267,77 @@
     ]
     bucket.in_flight = []
     bucket.version = message.version
-    bucket.entries = bucket.written
-    return actions + _settle(claims, bucket, now_s)
+    bucket.entries = bucket.pending_entries
+    return actions + _return_to_idle(claims, bucket, now_s)
 
 
-def _take_unanswered(bucket: Bucket) -> list[Action]:
-    # The write may have taken effect.  Taking it for done would run the request
-    # beside another router's; taking it for lost and claiming under another identity
-    # would find one's own claim and answer "unknown".  So the bucket is read, and the
-    # attempts that stand in it are granted.
+def _handle_unanswered_write(bucket: Bucket) -> list[Action]:
+    # The write may have taken effect. Assuming that it did could run the request
+    # alongside another router's attempt. Assuming that it did not, and claiming again
+    # under a new attempt, would find this router's own claim and answer "unknown". So
+    # read the bucket and grant the attempts found in it.
     bucket.in_flight = [
-        change._replace(may_stand=True) if isinstance(change, AddClaim) else change
+        change._replace(may_be_stored=True) if isinstance(change, AddClaim) else change
         for change in bucket.in_flight
     ]
     _requeue(bucket)
-    return _read(bucket)
+    return _request_read(bucket)
 
 
-def _take_outage(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
-    claims.outage_until_s = now_s + OUTAGE_S
+def _handle_read_failure(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
+    claims.outage_until_s = now_s + OUTAGE_BACKOFF_S
     bucket.version = None
     bucket.entries = {}
     bucket.phase = "idle"
     actions: list[Action] = []
     for other in claims.buckets.values():
-        actions += _advance(claims, other, now_s)
+        actions += _process_queue(claims, other, now_s)
     return actions
 
 
-def _advance(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
+def _process_queue(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
     if bucket.phase != "idle" or not bucket.queue:
         return []
     if now_s < claims.outage_until_s:
-        return _refuse_all(
+        return _refuse_queued(
             bucket, now_s, "platform_unavailable", claims.outage_until_s - now_s
         )
     if min(change.due_s for change in bucket.queue) > now_s:
         return []
     bucket.writes = 0
     bucket.is_fresh = False
-    bucket.used_s = now_s
+    bucket.last_used_s = now_s
     if bucket.version is None:
-        return _read(bucket)
-    return _merge(claims, bucket, now_s)
+        return _request_read(bucket)
+    return _merge_queue(claims, bucket, now_s)
 
 
-def _merge(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
+def _merge_queue(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
     merge = merge_changes(bucket.entries, bucket.queue, now_s)
     if (merge.held or merge.full) and not bucket.is_fresh:
-        # The holder may have dropped its claim since this router last looked; the
-        # caller would be told "unknown" of a request that never ran.
-        return _read(bucket)
-    if merge.changed and bucket.writes >= WRITES_MAX:
-        refused = _refuse_all(bucket, now_s, "claims_contended", RETRY_BUSY_S)
-        return refused + _settle(claims, bucket, now_s)
-    settled = {id(change) for change in (*merge.own, *merge.full, *merge.later)}
+        # The holder may have dropped its claim since this router last read the bucket.
+        # Using the cached entries would report "unknown" for a request that never ran.
+        return _request_read(bucket)
+    if merge.changed and bucket.writes >= WRITE_ATTEMPTS_MAX:
+        refused = _refuse_queued(bucket, now_s, "claims_contended", RETRY_AFTER_BUSY_S)
+        return refused + _return_to_idle(claims, bucket, now_s)
+    settled = {
+        id(change) for change in (*merge.already_stored, *merge.full, *merge.deferred)
+    }
     settled.update(id(change) for change, _ in merge.held)
-    going = [change for change in bucket.queue if id(change) not in settled]
-    bucket.queue = list(merge.later)
-    actions: list[Action] = [_grant(bucket, change, now_s) for change in merge.own]
+    included = [change for change in bucket.queue if id(change) not in settled]
+    bucket.queue = list(merge.deferred)
+    actions: list[Action] = [
+        _grant(bucket, change, now_s) for change in merge.already_stored
+    ]
     actions += [Held(add.request, add.key_hash, claim) for add, claim in merge.held]
-    actions += [Refused(add.request, "claims_full", RETRY_FULL_S) for add in merge.full]
+    actions += [
+        Refused(add.request, "claims_full", RETRY_AFTER_FULL_S) for add in merge.full
+    ]
     if not merge.changed:
-        return actions + _settle(claims, bucket, now_s)
-    bucket.in_flight = going
-    bucket.written = merge.entries
+        return actions + _return_to_idle(claims, bucket, now_s)
+    bucket.in_flight = included
+    bucket.pending_entries = merge.entries
     bucket.phase = "writing"
     bucket.writes += 1
     version = bucket.version or 0
@@ -340,24 +349,24 @@
         return Granted(
             change.request, change.key_hash, change.attempt, change.deadline_s
         )
-    _enqueue(bucket, DropClaim(change.key_hash, change.attempt, now_s + GATHER_S))
-    return Refused(change.request, "deadline_passed", RETRY_BUSY_S)
+    _enqueue(bucket, DropClaim(change.key_hash, change.attempt, now_s + BATCH_DELAY_S))
+    return Refused(change.request, "deadline_passed", RETRY_AFTER_BUSY_S)
 
 
-def _read(bucket: Bucket) -> list[Action]:
+def _request_read(bucket: Bucket) -> list[Action]:
     bucket.phase = "reading"
     return [ReadBucket(bucket.name)]
 
 
-def _learn(bucket: Bucket, version: int, entries: Entries) -> None:
+def _update_entries(bucket: Bucket, version: int, entries: Entries) -> None:
     bucket.version = version
     bucket.entries = entries
     bucket.is_fresh = True
 
 
-def _settle(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
+def _return_to_idle(claims: Claims, bucket: Bucket, now_s: float) -> list[Action]:
     bucket.phase = "idle"
-    return _advance(claims, bucket, now_s)
+    return _process_queue(claims, bucket, now_s)
 
 
 def _requeue(bucket: Bucket) -> None:
@@ -365,14 +374,14 @@
     bucket.in_flight = []
 
 
-def _refuse_all(
+def _refuse_queued(
     bucket: Bucket, now_s: float, code: str, retry_after_s: float
 ) -> list[Action]:
     adds = [change for change in bucket.queue if isinstance(change, AddClaim)]
     for change in adds:
-        _abandon(bucket, change, now_s)
+        _cancel_claim(bucket, change, now_s)
     bucket.queue = [
-        change._replace(due_s=max(change.due_s, now_s + OUTAGE_S))
+        change._replace(due_s=max(change.due_s, now_s + OUTAGE_BACKOFF_S))
         for change in bucket.queue
     ]
     return [Refused(change.request, code, retry_after_s) for change in adds]
@@ -382,34 +391,36 @@
     return Refused(request, "platform_unavailable", claims.outage_until_s - now_s)
 
 
-def _abandon(bucket: Bucket, change: AddClaim, now_s: float) -> None:
-    may_stand = change.may_stand or change in bucket.in_flight
+def _cancel_claim(bucket: Bucket, change: AddClaim, now_s: float) -> None:
+    may_be_stored = change.may_be_stored or change in bucket.in_flight
     bucket.queue = [other for other in bucket.queue if other != change]
     bucket.in_flight = [other for other in bucket.in_flight if other != change]
-    if may_stand:
-        # The caller was told "not_run" and will send again.  Left standing, the claim
-        # would answer that with "unknown", though nothing ever ran.
-        _enqueue(bucket, DropClaim(change.key_hash, change.attempt, now_s + GATHER_S))
+    if may_be_stored:
+        # The caller was told "not_run" and will send again. If the claim stayed, that
+        # request would get "unknown" although nothing ever ran.
+        _enqueue(
+            bucket, DropClaim(change.key_hash, change.attempt, now_s + BATCH_DELAY_S)
+        )
 
 
 def _enqueue(bucket: Bucket, change: Change) -> None:
-    # A mark or a drop that finds no room is lost; its claim then stands until it
-    # expires and answers "unknown", which is safe.
+    # A done mark or drop that exceeds the queue limit is discarded. The claim then
+    # remains until it expires and answers "unknown", which is safe.
     if len(bucket.queue) < QUEUE_MAX:
         bucket.queue.append(change)
 
 
-def _open_bucket(claims: Claims, key_hash: str) -> Bucket:
+def _get_or_create_bucket(claims: Claims, key_hash: str) -> Bucket:
     name = find_bucket(key_hash)
     if name not in claims.buckets:
         claims.buckets[name] = Bucket(name)
     return claims.buckets[name]
 
 
-def _shrink_cache(claims: Claims) -> None:
+def _evict_cached_entries(claims: Claims) -> None:
     cached = sum(len(bucket.entries) for bucket in claims.buckets.values())
     idle = [bucket for bucket in claims.buckets.values() if bucket.phase == "idle"]
-    for bucket in sorted(idle, key=lambda bucket: bucket.used_s):
+    for bucket in sorted(idle, key=lambda bucket: bucket.last_used_s):
         if cached <= CACHED_CLAIMS_MAX:
             return
         cached -= len(bucket.entries)
--- a/tests/test_claims.py
+++ b/tests/test_claims.py
@@ -9,7 +9,7 @@
 
 
 class Caller:
-    """One router's claims with the platform's answers given by the test."""
+    """Claims of one router; the test supplies the platform's responses."""
 
     def __init__(self):
         self.state = claims.Claims("r1", "a")
@@ -19,7 +19,7 @@
         self.requests += 1
         message = messages.ClaimRequested(self.requests, key, now_s + TIMEOUT_S)
         early = claims.step(self.state, message, now_s)
-        return early + self.wait(now_s + claims.GATHER_S)
+        return early + self.wait(now_s + claims.BATCH_DELAY_S)
 
     def wait(self, now_s):
         return claims.step(self.state, messages.TimePassed(), now_s)
@@ -39,7 +39,7 @@
     return {KEY: claim_buckets.Claim("r2/b/1", "claimed", now_s + expires_s)}
 
 
-def test_claims_of_some_milliseconds_go_in_one_write():
+def test_claims_are_batched_into_one_write():
     caller = Caller()
     keys = [
         f"{number:08x}{'0' * 16}"
@@ -48,7 +48,7 @@
     for number, key in enumerate(keys):
         message = messages.ClaimRequested(number, key, TIMEOUT_S)
         assert caller.tell(message, 0.0) == []
-    assert len(caller.wait(claims.GATHER_S)) == 1
+    assert len(caller.wait(claims.BATCH_DELAY_S)) == 1
     name = claim_buckets.find_bucket(keys[0])
     (write,) = caller.tell(messages.BucketRead(name, 0, {}), 0.02)
     assert len(write.entries) == len(keys) == 10
@@ -56,9 +56,9 @@
     assert [type(action) for action in granted] == [messages.Granted] * 10
 
 
-def test_outage_refuses_at_once_and_the_platform_is_asked_again_later():
-    # The platform is down.  Each request would wait for a timeout, and the callers
-    # would learn too late that they may try elsewhere.
+def test_outage_refuses_at_once_and_retries_the_platform_later():
+    # The platform is down. If each request waited for its own timeout, callers would
+    # learn too late that they can try elsewhere.
     caller = Caller()
     caller.ask(0.0)
     (refused,) = caller.tell(messages.ReadFailed(BUCKET), 0.1)
@@ -68,9 +68,9 @@
     assert caller.ask(1.2) == [messages.ReadBucket(BUCKET)]
 
 
-def test_claim_of_a_request_that_was_never_sent_is_taken_back():
-    # The deadline passes while the write's answer is lost.  The caller was told
-    # "not_run"; sending again must not be answered with "unknown".
+def test_claim_of_an_unsent_request_is_removed():
+    # The deadline passes while the response to a write is lost. The caller was told
+    # "not_run", so a resend must not get "unknown".
     caller = Caller()
     caller.ask(0.0)
     (write,) = caller.tell(messages.BucketRead(BUCKET, 0, {}), 0.02)
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("is_fresh", [True, False])
-def test_held_claim_is_looked_at_again_before_the_caller_hears_of_it(is_fresh):
+def test_held_claim_is_reread_before_it_is_reported(is_fresh):
     caller = Caller()
     granted, entries = caller.grant(0.0)
     entries = entries | other_claim(0.0) if is_fresh else {}
@@ -94,13 +94,13 @@
 
 
 def test_claim_outlives_the_send_window_of_a_frozen_router():
-    # A router is frozen with a grant for more than the life of its claim; another
-    # router then runs the request.  Awake again, it must not send.
+    # A router holding a grant freezes until its claim has expired, and another router
+    # runs the request. Once resumed, the first router must not send it.
     granted, entries = Caller().grant(0.0)
     expires_s = entries[KEY].expires_s
     assert claims.may_send(granted, TIMEOUT_S - 1)
     assert not claims.may_send(granted, TIMEOUT_S)
-    assert expires_s >= TIMEOUT_S + claim_buckets.CLAIM_KEPT_S
+    assert expires_s >= TIMEOUT_S + claim_buckets.CLAIM_TTL_S
     later = Caller()
     later.ask(expires_s)
     (write,) = later.tell(messages.BucketRead(BUCKET, 1, entries), expires_s)
@@ -109,7 +109,7 @@
 
 def test_full_bucket_refuses_and_contended_bucket_gives_up(monkeypatch):
     caller = Caller()
-    for number in range(1, claims.WRITES_MAX + 1):
+    for number in range(1, claims.WRITE_ATTEMPTS_MAX + 1):
         entries = {"f" * 24: other_claim(0.0)[KEY]}
         message = messages.WriteConflicted(BUCKET, number, entries)
         if number == 1:
@@ -125,17 +125,17 @@
     assert refused.code == "claims_full"
 
 
-def test_finished_run_is_marked_and_only_by_its_own_attempt():
+def test_only_the_attempt_itself_marks_its_claim_done():
     caller = Caller()
     granted, entries = caller.grant(0.0)
     caller.tell(messages.RunEnded(KEY, granted.attempt, True), 1.0)
-    (write,) = caller.wait(1.0 + claims.DONE_GATHER_S)
+    (write,) = caller.wait(1.0 + claims.DONE_BATCH_DELAY_S)
     assert write.entries[KEY] == entries[KEY]._replace(state="done")
     foreign = other_claim(0.0)
     assert caller.tell(messages.WriteConflicted(BUCKET, 2, foreign), 7.0) == []
 
 
-def test_memory_is_bounded(monkeypatch):
+def test_cached_claims_are_bounded(monkeypatch):
     monkeypatch.setattr(claims, "CACHED_CLAIMS_MAX", 0)
     caller = Caller()
     caller.grant(0.0)
