--- a/src/tamarackrill/decisions/answers.py
+++ b/src/tamarackrill/decisions/answers.py
@@ -1,37 +1,37 @@
-"""Which answer a resend gets, and how long answers are kept for that.
+"""Response cache that deduplicates resent requests.
 
-A caller whose connection broke sends its request again with the same idempotency key,
-or with the same place in the chat.  It joins the run in progress or gets the kept
-answer; the request does not run a second time.
+A caller that lost its connection sends the request again with the same idempotency key
+or the same sequence number in the chat. The resent request joins the run in progress or
+gets the cached response; it does not run a second time.
 
-Load pattern: many callers that resend at once after a router or a link was lost.
-Without kept answers each resend would run again, at the worst moment.  The memory is
-bounded in bytes; past it the team that holds most gives up its oldest answers, so
-that one team's long answers don't push out another team's.
+Load pattern: many callers resend at once after a router or a network link failed.
+Without the cache every resent request would run again, when capacity is lowest. Memory
+is bounded in bytes: above the limit, the oldest responses of the team that uses the
+most are evicted, so that long responses of one team don't displace another team's.
 """
 
 from collections import Counter
 from typing import Literal, NamedTuple
 
-KEPT_MAX_BYTES = 8 * 1024 * 1024
-"""Bytes of kept answers of one router.  At 6,500 requests/s over 370 routers, 60 s and
-4 KB an answer, a router keeps 4.2 MB."""
+CACHE_MAX_BYTES = 8 * 1024 * 1024
+"""Bytes of cached responses of one router. At 6,500 requests/s over 370 routers, 60 s
+and 4 KB per response, a router holds 4.2 MB."""
 
-RECORD_BYTES = 1024
-"""Counted for each record besides its answer: keys, Python objects."""
+RECORD_OVERHEAD_BYTES = 1024
+"""Memory counted per record in addition to the response: keys, Python objects."""
 
-Verdict = Literal["new", "join", "mismatch"]
+LookupResult = Literal["new", "join", "mismatch"]
 
 
 class Identity(NamedTuple):
-    """What a caller repeats when it sends a request again."""
+    """Identifies a request across resends."""
 
     team: str
     name: str
 
 
 class Record(NamedTuple):
-    """What is known of one request; `expires_s` is None while it runs."""
+    """State of one request; `expires_s` is None while it runs."""
 
     fingerprint: str
     size_bytes: int = 0
@@ -39,7 +39,7 @@
 
 
 class AnswerCache:
-    """Records by identity, in the order in which their answers were kept."""
+    """Records by identity, in the order in which their responses were cached."""
 
     def __init__(self) -> None:
         self.records: dict[Identity, Record] = {}
@@ -47,7 +47,7 @@
 
 
 def identify(team: str, key: str, chat: str, sequence: int | None) -> Identity | None:
-    """Return the identity of a request, or None if it can't be sent again as one."""
+    """Return the identity of a request, or None if resends can't be recognized."""
     if key:
         return Identity(team, f"key {key}")
     if chat and sequence is not None:
@@ -55,18 +55,18 @@
     return None
 
 
-def look_up(answers: AnswerCache, identity: Identity, fingerprint: str) -> Verdict:
-    """Return whether a request is new, joins an earlier one or contradicts it.
+def look_up(answers: AnswerCache, identity: Identity, fingerprint: str) -> LookupResult:
+    """Return whether a request is new, a resend, or reuses another's identity.
 
     Parameters
     ----------
-    answers : Answers
-        State, left as it is.
+    answers : AnswerCache
+        State, not modified.
     identity : Identity
-        Of the request.
+        Identity of the request.
     fingerprint : str
-        Hash of all that the endpoint would get.  Were it not compared, a key used
-        twice by mistake would hand a caller the answer to another question.
+        Hash of everything that the endpoint would receive. Without comparing it, a key
+        reused by mistake would return the response to a different request.
     """
     record = answers.records.get(identity)
     if record is None:
@@ -75,7 +75,7 @@
 
 
 def start(answers: AnswerCache, identity: Identity, fingerprint: str) -> None:
-    """Note that a new request runs."""
+    """Record that a new request is running."""
     answers.records[identity] = Record(fingerprint)
 
 
@@ -83,50 +83,50 @@
     answers: AnswerCache,
     identity: Identity,
     size_bytes: int,
-    is_kept: bool,
+    is_replayable: bool,
     expires_s: float,
 ) -> list[Identity]:
-    """Take the end of a run and return the identities to forget.
+    """Record the end of a run and return the identities that were removed.
 
     Parameters
     ----------
-    answers : Answers
-        State, changed in place.
+    answers : AnswerCache
+        State, modified in place.
     identity : Identity
-        Of the request.
+        Identity of the request.
     size_bytes : int
-        Size of the answer.
-    is_kept : bool
-        Whether a resend gets this answer.  A cut one is never kept: a resend would
-        take it for the whole.
+        Size of the response.
+    is_replayable : bool
+        Whether a resent request gets this response. Truncated responses are never
+        cached, because a caller would take them for complete ones.
     expires_s : float
-        Until when it is kept.
+        When the cached response expires.
     """
     record = answers.records.pop(identity, None)
-    if record is None or not is_kept:
+    if record is None or not is_replayable:
         return [identity]
-    size_bytes += RECORD_BYTES
+    size_bytes += RECORD_OVERHEAD_BYTES
     answers.records[identity] = Record(record.fingerprint, size_bytes, expires_s)
     answers.size_bytes[identity.team] += size_bytes
-    forgotten: list[Identity] = []
-    while answers.size_bytes.total() > KEPT_MAX_BYTES:
-        forgotten.append(_drop_oldest(answers))
-    return forgotten
+    evicted: list[Identity] = []
+    while answers.size_bytes.total() > CACHE_MAX_BYTES:
+        evicted.append(_evict_oldest(answers))
+    return evicted
 
 
 def expire(answers: AnswerCache, now_s: float) -> list[Identity]:
-    """Drop what has been kept long enough and return the identities to forget."""
-    old = [
+    """Remove expired responses and return their identities."""
+    expired = [
         identity
         for identity, record in answers.records.items()
         if record.expires_s is not None and record.expires_s <= now_s
     ]
-    for identity in old:
-        _drop(answers, identity)
-    return old
+    for identity in expired:
+        _remove(answers, identity)
+    return expired
 
 
-def _drop_oldest(answers: AnswerCache) -> Identity:
+def _evict_oldest(answers: AnswerCache) -> Identity:
     (team, _), *_ = answers.size_bytes.most_common(1)
     kept = (
         identity
@@ -134,11 +134,11 @@
         if identity.team == team and record.expires_s is not None
     )
     oldest = next(kept)
-    _drop(answers, oldest)
+    _remove(answers, oldest)
     return oldest
 
 
-def _drop(answers: AnswerCache, identity: Identity) -> None:
+def _remove(answers: AnswerCache, identity: Identity) -> None:
     record = answers.records.pop(identity)
     answers.size_bytes[identity.team] -= record.size_bytes
     if not answers.size_bytes[identity.team]:
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,12 +6,12 @@
 ONE = Identity("cegin", "key quote-1")
 
 
-def finish(state, identity, size_bytes=0, is_whole=True, expires_s=60.0):
+def run_request(state, identity, size_bytes=0, is_complete=True, expires_s=60.0):
     answers.start(state, identity, "f")
-    return answers.finish(state, identity, size_bytes, is_whole, expires_s)
+    return answers.finish(state, identity, size_bytes, is_complete, expires_s)
 
 
-def test_resend_joins_the_run_and_then_gets_the_kept_answer():
+def test_resend_joins_the_run_and_then_gets_the_cached_response():
     state = AnswerCache()
     assert answers.look_up(state, ONE, "f") == "new"
     answers.start(state, ONE, "f")
@@ -24,28 +24,29 @@
     assert not state.size_bytes
 
 
-def test_key_used_for_another_request_is_told_apart():
-    # A caller uses a key twice by mistake.  It would get the answer to its other
-    # question and take it for this one.
+def test_key_reused_for_a_different_request_is_a_mismatch():
+    # A caller reuses a key by mistake. Without the check it would get the response to
+    # its other request and take it for the response to this one.
     state = AnswerCache()
     answers.start(state, ONE, "f")
     assert answers.look_up(state, ONE, "g") == "mismatch"
     assert answers.look_up(state, ONE._replace(team="kranj"), "g") == "new"
 
 
-def test_cut_answer_is_never_kept():
-    # The endpoint was lost half way.  A resend would take the half for the whole.
+def test_truncated_response_is_never_cached():
+    # The endpoint failed during the response. If the truncated response were cached, a
+    # resend would take it for the complete one.
     state = AnswerCache()
-    assert finish(state, ONE, 10, is_whole=False) == [ONE]
+    assert run_request(state, ONE, 10, is_complete=False) == [ONE]
     assert answers.look_up(state, ONE, "f") == "new"
 
 
-def test_long_answers_of_one_team_do_not_push_out_another_teams():
+def test_long_responses_of_one_team_do_not_evict_another_teams():
     state = AnswerCache()
-    finish(state, ONE)
-    size_bytes = answers.KEPT_MAX_BYTES // 4
+    run_request(state, ONE)
+    size_bytes = answers.CACHE_MAX_BYTES // 4
     large = [Identity("kranj", f"key {number}") for number in range(6)]
-    dropped = [gone for name in large for gone in finish(state, name, size_bytes)]
+    dropped = [gone for name in large for gone in run_request(state, name, size_bytes)]
     assert dropped == large[: len(dropped)] and len(dropped) == 3
     assert answers.look_up(state, ONE, "f") == "join"
 
@@ -59,5 +60,5 @@
         (("t", "", "", 1), None),
     ],
 )
-def test_identity_is_what_a_resend_repeats(request_, identity):
+def test_identity_is_stable_across_resends(request_, identity):
     assert answers.identify(*request_) == identity
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -10,7 +10,7 @@
 
 
 class Home:
-    """One chat at its home, with a request named after each sequence."""
+    """One chat at its home router, with a request named after each sequence."""
 
     def __init__(self):
         self.order = ordering.ChatOrder()
@@ -29,8 +29,8 @@
 
 @given(st.permutations(range(1, 7)))
 def test_requests_run_one_at_a_time_in_the_order_asked(arrivals):
-    # A caller sends six requests of a chat through six routers.  Without the order the
-    # engine would answer the last question before it has seen the first.
+    # A caller sends six requests of a chat through six routers. Without ordering the
+    # engine could answer the last question before it has seen the first.
     home = Home()
     ran = []
     actions = [action for n in arrivals for action in home.arrive(n)]
@@ -41,13 +41,13 @@
     assert ran == [f"r{n}" for n in range(1, 7)]
 
 
-def test_new_home_starts_where_the_chat_stands():
-    # The chat's home was replaced and its memory is gone.  The chat goes on at the
-    # lowest place that comes within the wait.
+def test_new_home_resumes_at_the_lowest_sequence_received():
+    # The chat's home was replaced and its state lost. The chat continues at the lowest
+    # sequence that arrives within the wait.
     home = Home()
     assert home.arrive(8) == [] == home.arrive(7)
-    assert ordering.next_due_s(home.order) == ordering.BASE_WAIT_S
-    assert home.wait(ordering.BASE_WAIT_S) == [Started("r7")]
+    assert ordering.next_due_s(home.order) == ordering.NEW_CHAT_WAIT_S
+    assert home.wait(ordering.NEW_CHAT_WAIT_S) == [Started("r7")]
     assert home.end(7) == [Started("r8")]
 
 
@@ -60,17 +60,17 @@
     assert home.end(1) == [Started("r2")]
 
 
-def test_missing_request_ends_the_wait_of_those_behind_it():
+def test_requests_after_a_gap_time_out():
     home = Home()
     home.arrive(1)
     home.arrive(3)
     home.arrive(2)
-    assert home.wait(ordering.GAP_WAIT_S + 1) == []  # only waits for the run
+    assert home.wait(ordering.GAP_WAIT_S + 1) == []  # waits for the running one
     home.end(1, now_s=7.0)
     home.end(2, now_s=7.0, ran=False)
     due_s = ordering.next_due_s(home.order)
     assert due_s == 7.0 + ordering.GAP_WAIT_S
-    gap = OutOfOrder("r3", "sequence_gap", "not_run", ordering.RETRY_S)
+    gap = OutOfOrder("r3", "sequence_gap", "not_run", ordering.RETRY_AFTER_S)
     assert home.wait(due_s) == [gap]
     assert ordering.next_due_s(home.order) is None
 
@@ -81,10 +81,10 @@
         (1, "sequence_passed", "unknown"),
         (2, "sequence_taken", "not_run"),
         (3, "sequence_taken", "not_run"),
-        (2 + ordering.AHEAD_MAX, "sequence_skipped", "not_run"),
+        (2 + ordering.SEQUENCE_WINDOW, "sequence_skipped", "not_run"),
     ],
 )
-def test_place_that_cannot_be_is_refused_at_once(sequence, code, run):
+def test_invalid_sequence_is_refused_at_once(sequence, code, run):
     home = Home()
     home.arrive(1)
     home.end(1)
@@ -95,7 +95,7 @@
     assert home.end(2) == [Started("r3")]
 
 
-def test_deadline_ends_the_wait_and_a_waiting_caller_can_leave():
+def test_waiting_request_ends_at_its_deadline_or_when_cancelled():
     home = Home()
     home.arrive(1)
     home.arrive(2)
@@ -105,7 +105,7 @@
     assert (refused.request, refused.code) == ("r2", "deadline_passed")
 
 
-def test_memory_of_chats_is_bounded(monkeypatch):
+def test_number_of_chats_is_bounded(monkeypatch):
     monkeypatch.setattr(ordering, "CHATS_MAX", 3)
     order = ordering.ChatOrder()
     for number in range(10):
