--- a/src/tamarackrill/decisions/attempts.py
+++ b/src/tamarackrill/decisions/attempts.py
@@ -1,13 +1,14 @@
-"""What follows an attempt that has not brought a request its answer.
+"""Next step after an attempt that did not get a response for a request.
 
-Load pattern: endpoints refuse, fail, break off and fall silent, one by one or all of a
-service together.  A request that can still be served elsewhere goes there at once; one
-that can't gets its final answer at once.  Without the first, each endpoint that fails
-costs its callers their answers; without the second, they wait out their deadlines.
+Load pattern: endpoints refuse, fail, break off or stop responding, one at a time or all
+endpoints of a service together. A request that another endpoint can still serve is sent
+there at once; any other gets its final response at once. Without the first rule every
+failing endpoint costs its callers their responses; without the second they wait until
+their deadlines.
 
-What the client is told has to be true.  Only a request that no endpoint can have begun
-is answered with a promise that it has not run, and with when to come back.  All others
-get what the endpoint said, or that the outcome is not known.
+What the client is told must be true. Only a request that no endpoint can have started
+is reported as not run, with a time to retry. All others get the endpoint's response, or
+are told that the outcome is unknown.
 """
 
 from typing import Literal, NamedTuple
@@ -17,43 +18,45 @@
 Outcome = Literal["answered", "not_sent", "not_run", "failed", "lost", "misplaced"]
 NextStep = Literal["repeat", "answer", "refuse", "give_up"]
 
-# Less than this is no time in which a lookup of 20 ms could come back.
-TIME_LEFT_MIN_S = 0.03
-# Endpoints of one service to which a connection may be tried and fail for a request;
-# each costs a timeout at worst, and nothing was sent.
-CONNECTS_MAX = 4
-# Endpoints that were no longer at their addresses, after which a request is refused.
-# None of them has had it, so that they don't use up the endpoints that it may be sent
-# to; each costs a few milliseconds and one of the fleet's repeats.
+# Minimum time left for another attempt; a 20 ms lookup could not complete in less.
+ATTEMPT_TIME_MIN_S = 0.03
+# Failed connection attempts allowed per request, over the endpoints of one service.
+# Each costs at most a connect timeout, and nothing was sent.
+CONNECT_ATTEMPTS_MAX = 4
+# Endpoints found to have moved from their address, after which a request is refused.
+# None of them received the request, so they don't count towards the endpoints it may be
+# sent to; each costs a few milliseconds and one retry of the fleet's budget.
 MISPLACED_MAX = 3
-# A client that full endpoints refused comes back after a time drawn from this range.
-# Work at full endpoints ends at some ten a second each, so a place is free soon; spread
-# over half a second, the returns of one burst are not the next burst.
-RETURN_MIN_S = 0.15
-RETURN_SPREAD_S = 0.5
-# Part of its time after which a client comes back to endpoints that can't be reached.
-# Cuts last seconds, and clients come back once or twice: the later the better, but one
-# that waits for more than a third of what it has left may not come back at all.
-CUT_RETURN_SHARE = 0.22
-CUT_RETURN_SPREAD_SHARE = 0.1
-# Once the balancer sends clients to other zones, the first of them arrive spread over
-# so much time, at routers that serve their own zone besides.
-ELSEWHERE_SPREAD_S = 0.2
+# Range of Retry-After when all endpoints are full. Full endpoints complete about ten
+# requests per second each, so a slot is free soon; the half second of jitter keeps the
+# retries of one burst from forming the next.
+RETRY_AFTER_MIN_S = 0.15
+RETRY_AFTER_JITTER_S = 0.5
+# Retry-After when endpoints are unreachable, as a share of the client's remaining time.
+# Network partitions last seconds and clients retry once or twice, so a late retry is
+# better, but a client that has to wait for more than a third of its remaining time may
+# not retry at all.
+UNREACHABLE_RETRY_AFTER_SHARE = 0.22
+UNREACHABLE_JITTER_SHARE = 0.1
+# Jitter for clients that the load balancer will send to other zones, so that their
+# retries don't arrive together at routers that also serve their own zone.
+FAILOVER_JITTER_S = 0.2
 
 
 class AttemptHistory(NamedTuple):
-    """What has happened to a request so far.
+    """Attempts made so far for a request.
 
     Parameters
     ----------
     sent : int
-        Endpoints that it was sent to and reached.
+        Endpoints that received the request.
     unconnected : int
         Endpoints to which no connection could be made.
     may_have_run : bool
-        Whether an endpoint can have begun to run it.
+        Whether an endpoint may have started to run it.
     misplaced : int
-        Endpoints that were no longer where it was sent; they never had it.
+        Endpoints that had moved from the address it was sent to; they never received
+        it.
     """
 
     sent: int = 0
@@ -63,103 +66,105 @@
 
     @property
     def was_delivered(self) -> bool:
-        """Whether any endpoint has got it, so that another send repeats it."""
+        """Whether the request reached any host, so that another send is a retry."""
         return bool(self.sent or self.misplaced)
 
 
-def add_attempt(tried: AttemptHistory, outcome: Outcome) -> AttemptHistory:
-    """Return what has happened after one more attempt."""
+def add_attempt(history: AttemptHistory, outcome: Outcome) -> AttemptHistory:
+    """Return the history including one more attempt."""
     if outcome == "not_sent":
-        return tried._replace(unconnected=tried.unconnected + 1)
+        return history._replace(unconnected=history.unconnected + 1)
     if outcome == "misplaced":
-        return tried._replace(misplaced=tried.misplaced + 1)
-    ran = outcome in ("failed", "lost")
-    return tried._replace(sent=tried.sent + 1, may_have_run=tried.may_have_run or ran)
+        return history._replace(misplaced=history.misplaced + 1)
+    may_have_begun = outcome in ("failed", "lost")
+    return history._replace(
+        sent=history.sent + 1, may_have_run=history.may_have_run or may_have_begun
+    )
 
 
 def decide_next(
     outcome: Outcome,
-    tried: AttemptHistory,
-    may_repeat: bool,
+    history: AttemptHistory,
+    is_idempotent: bool,
     attempts_max: int,
     repeats_left: float,
     time_left_s: float,
 ) -> NextStep:
-    """Decide what follows an attempt.
+    """Decide what to do after an attempt.
 
     Parameters
     ----------
     outcome : {"not_sent", "not_run", "misplaced", "failed", "lost"}
-        No connection; the endpoint says that it has not run the request; another
-        endpoint has the address; a whole answer that tells of a failure; no whole
-        answer came.
-    tried : Tried
-        All attempts, this one counted.
-    may_repeat : bool
+        No connection; the endpoint reports that it did not run the request; another
+        endpoint now has the address; a complete response that reports a failure; no
+        complete response.
+    history : AttemptHistory
+        All attempts, including this one.
+    is_idempotent : bool
         Whether the request may run more than once.
     attempts_max : int
-        Endpoints that it may be sent to.
+        Maximum number of endpoints to send it to.
     repeats_left : float
-        What the budget still allows.
+        Retries left in the budget.
     time_left_s : float
-        Until the client's deadline or the route's timeout.
+        Time until the client's deadline or the route's timeout.
 
     Returns
     -------
     {"repeat", "answer", "refuse", "give_up"}
-        Try another endpoint; pass on the endpoint's answer; tell that it has not run
-        and when to come back; tell that the outcome is not known.
+        Try another endpoint; forward the endpoint's response; report that the request
+        has not run and when to retry; report that the outcome is unknown.
     """
-    if _may_repeat_now(
-        outcome, tried, may_repeat, attempts_max, repeats_left, time_left_s
+    if _can_retry(
+        outcome, history, is_idempotent, attempts_max, repeats_left, time_left_s
     ):
         return "repeat"
     if outcome == "failed":
         return "answer"
-    return "give_up" if tried.may_have_run else "refuse"
+    return "give_up" if history.may_have_run else "refuse"
 
 
-def _may_repeat_now(
+def _can_retry(
     outcome: Outcome,
-    tried: AttemptHistory,
-    may_repeat: bool,
+    history: AttemptHistory,
+    is_idempotent: bool,
     attempts_max: int,
     repeats_left: float,
     time_left_s: float,
 ) -> bool:
-    if time_left_s < TIME_LEFT_MIN_S or tried.sent >= attempts_max:
+    if time_left_s < ATTEMPT_TIME_MIN_S or history.sent >= attempts_max:
         return False
-    if tried.may_have_run and not may_repeat:
+    if history.may_have_run and not is_idempotent:
         return False
     if outcome == "not_sent":
-        return tried.unconnected < CONNECTS_MAX
-    if tried.misplaced > MISPLACED_MAX:
+        return history.unconnected < CONNECT_ATTEMPTS_MAX
+    if history.misplaced > MISPLACED_MAX:
         return False
     return repeats_left >= 1.0
 
 
 def choose_retry_after_s(
-    key: str, is_cut: bool, time_left_s: float, elsewhere_s: float | None = None
+    key: str, is_unreachable: bool, time_left_s: float, failover_s: float | None = None
 ) -> float:
-    """Return when a refused client should come back, spread by its request.
+    """Return when a refused client should retry, with jitter by request.
 
     Parameters
     ----------
     key : str
         Identifies the request.
-    is_cut : bool
-        Whether its endpoints can't be reached, and not only full.
+    is_unreachable : bool
+        Whether the endpoints are unreachable rather than full.
     time_left_s : float
-        Until the client's deadline.
-    elsewhere_s : float or None, default=None
-        Time after which it reaches a router in another zone, if that is foreseen.
+        Time until the client's deadline.
+    failover_s : float or None, default=None
+        Expected time until the client reaches a router in another zone, if known.
     """
-    share = hashing.hash_name(key) % 1000 / 1000
-    soon_s = RETURN_MIN_S + share * RETURN_SPREAD_S
-    if not is_cut:
-        return soon_s
-    late_share = CUT_RETURN_SHARE + share * CUT_RETURN_SPREAD_SHARE
-    late_s = late_share * time_left_s
-    if elsewhere_s is not None:
-        late_s = min(late_s, elsewhere_s + share * ELSEWHERE_SPREAD_S)
-    return max(RETURN_MIN_S, late_s)
+    jitter = hashing.hash_name(key) % 1000 / 1000
+    busy_retry_s = RETRY_AFTER_MIN_S + jitter * RETRY_AFTER_JITTER_S
+    if not is_unreachable:
+        return busy_retry_s
+    retry_share = UNREACHABLE_RETRY_AFTER_SHARE + jitter * UNREACHABLE_JITTER_SHARE
+    retry_s = retry_share * time_left_s
+    if failover_s is not None:
+        retry_s = min(retry_s, failover_s + jitter * FAILOVER_JITTER_S)
+    return max(RETRY_AFTER_MIN_S, retry_s)
--- a/src/tamarackrill/decisions/event_stream.py
+++ b/src/tamarackrill/decisions/event_stream.py
@@ -1,34 +1,35 @@
-"""What of a stream of events may be passed on, and where another endpoint goes on.
+"""Server-sent event streams: forwards whole events and resumes at another endpoint.
 
-Load pattern: an endpoint crashes in the middle of an event, and the stream goes on at
-another one.  Were bytes passed on as they come, the half event would be joined to the
-first event of the other endpoint, and the client would read a piece that nobody made.
-So only whole events leave; half of one is dropped when its endpoint is lost.
+Load pattern: an endpoint crashes in the middle of an event, and the stream continues at
+another one. If bytes were forwarded as they arrive, the partial event would be joined
+to the other endpoint's first event, and the client would read a corrupt event. So only
+complete events are forwarded; a partial one is dropped when its endpoint is lost.
 
-Another endpoint is asked to go on after the last id that left.  If it begins earlier
-all the same, what the client has already got is dropped, as it would see a piece twice.
+The other endpoint is asked to continue after the last forwarded id. If it starts
+earlier, events that the client already has are dropped, so that it does not see them
+twice.
 """
 
 import re
 
-_BOUNDARY = re.compile(rb"\r?\n\r?\n")
+_EVENT_END = re.compile(rb"\r?\n\r?\n")
 _ID = re.compile(rb"^id:[ ]?(\d+)[ \r]*$", re.MULTILINE)
 # An event holds a few tokens, far below a kilobyte; an endpoint that never ends one is
-# faulty and must not fill the router's memory.
+# faulty and must not exhaust the router's memory.
 EVENT_MAX_BYTES = 1 << 20
 
 
 class EventStreamError(Exception):
-    """An endpoint sent something that is no stream of events."""
+    """An endpoint sent data that is not a valid event stream."""
 
 
 class EventStream:
-    """One stream towards a client, over all endpoints that feed it.
+    """One client's event stream across all endpoints that supply it.
 
     Parameters
     ----------
     last_id : int or None
-        Id after which the client asked to go on.
+        Id after which the client asked to resume.
     """
 
     def __init__(self, last_id: int | None = None) -> None:
@@ -37,39 +38,39 @@
         self._partial = b""
         self._is_resumed = False
 
-    def take(self, piece: bytes) -> bytes:
-        """Take bytes of an endpoint; return the whole events that may leave.
+    def take(self, chunk: bytes) -> bytes:
+        """Add bytes from an endpoint and return the complete events to forward.
 
         Raises
         ------
         EventStreamError
-            If an event never ends.
+            If an event exceeds `EVENT_MAX_BYTES` without ending.
         """
-        data = self._partial + piece
+        data = self._partial + chunk
         events = []
         start = 0
-        for boundary in _BOUNDARY.finditer(data):
+        for boundary in _EVENT_END.finditer(data):
             event = data[start : boundary.end()]
             start = boundary.end()
-            if self._is_due(event):
+            if self._should_forward(event):
                 events.append(event)
         self._partial = data[start:]
         if len(self._partial) > EVENT_MAX_BYTES:
-            raise EventStreamError("an event does not end")
+            raise EventStreamError("event exceeds the allowed size")
         self.events += len(events)
         return b"".join(events)
 
     def finish(self) -> bytes:
-        """Return what follows the last whole event, of a stream that ended in order."""
+        """Return the bytes after the last event of a stream that ended normally."""
         rest, self._partial = self._partial, b""
         return rest
 
     def resume(self) -> None:
-        """Drop half an event; the next bytes come from another endpoint."""
+        """Drop a partial event; the next bytes come from another endpoint."""
         self._partial = b""
         self._is_resumed = True
 
-    def _is_due(self, event: bytes) -> bool:
+    def _should_forward(self, event: bytes) -> bool:
         found = _ID.search(event)
         if found is None:
             return True
--- a/src/tamarackrill/decisions/retry.py
+++ b/src/tamarackrill/decisions/retry.py
@@ -1,26 +1,27 @@
-"""Whether a request that failed at one endpoint may go to another.
+"""Retry budget: whether a request that failed at one endpoint may go to another.
 
-Load pattern: endpoints fail or time out because they are overloaded.  Without a
-bound, each failure sends one or two further requests to the rest, which then fail
-too: load is multiplied just when there is too much of it, seen as endpoints that
-fall one after the other and do not come up again.
+Load pattern: endpoints fail or time out because they are overloaded. Without a limit
+each failure sends one or two more requests to the remaining endpoints, which then fail
+too: load multiplies when it is already too high, so endpoints fail one after another
+and do not recover.
 
-Retries are paid from a budget that successes fill: in steady work one request in ten
-may be a retry, so that a pool never gets more than 1.1 times what its callers send.
-An endpoint that answers that it is overloaded says nothing about the next one being
-free; such an answer is passed on, with Retry-After, and is never tried again here.
+Retries are paid from a budget that successes refill: in steady state one request in ten
+may be a retry, so a pool never gets more than 1.1 times the load its callers send. An
+overload response says nothing about whether another endpoint has capacity; it is
+forwarded with Retry-After and never retried here.
 """
 
 from typing import Literal, NamedTuple
 
-# Share of a retry that a success pays for: the usual figure; a pool at the 80 % that
-# it is planned for then stays below 88 %.
-BUDGET_SHARE = 0.1
-# At the start there is credit for what runs on one endpoint, by default eight slots:
-# it may crash before there were successes to pay for its requests.
+# Retries earned per success. This is the usual value; a pool planned for 80 % load then
+# stays below 88 %.
+RETRY_RATIO = 0.1
+# Initial credit covers the requests running on one endpoint, eight slots by default: it
+# may crash before any success has earned retries for them.
 INITIAL_CREDIT = 8.0
-# Retries saved up: the failures of one endpoint's slots, not those of a whole pool.
-BUDGET_MAX = 20.0
+# Maximum accumulated retries: enough for the slots of one failing endpoint, not for a
+# whole pool.
+CREDIT_MAX = 20.0
 
 Outcome = Literal["not_sent", "refused", "overloaded", "cut"]
 RetryDecision = Literal["retry", "may_have_run", "overload", "budget", "deadline"]
@@ -32,65 +33,65 @@
     Parameters
     ----------
     outcome : {"not_sent", "refused", "overloaded", "cut"}
-        No byte was sent; the endpoint answered with an error; it answered that it
-        has too much to do; or the answer did not come or was cut.
+        No byte was sent; the endpoint responded with an error; it responded that it is
+        overloaded; or the response did not arrive or was truncated.
     idempotent : bool
-        Whether the request may run twice.
-    started : bool
-        Whether the caller has got a part of the answer.
+        Whether the request may run more than once.
+    response_started : bool
+        Whether the caller has received part of the response.
     """
 
     outcome: Outcome
     idempotent: bool
-    started: bool = False
+    response_started: bool = False
 
 
 class RetryBudget:
-    """Retries that one pool may still have."""
+    """Retry budget of one pool."""
 
     def __init__(self) -> None:
         self._credit = INITIAL_CREDIT
 
     @property
     def credit(self) -> float:
-        """Number of retries that are paid for."""
+        """Number of retries available."""
         return self._credit
 
     def note_success(self) -> None:
-        """Take note of an answer that came whole at the first attempt or later."""
-        self._credit = min(BUDGET_MAX, self._credit + BUDGET_SHARE)
+        """Record a complete response, whether from the first attempt or a retry."""
+        self._credit = min(CREDIT_MAX, self._credit + RETRY_RATIO)
 
     def decide(
         self, failure: Failure, pool_full: bool, time_left_s: float, service_s: float
     ) -> RetryDecision:
-        """Decide whether to try again, and pay for it if so.
+        """Decide whether to retry, and charge the budget if so.
 
         Parameters
         ----------
         failure : Failure
             How the last attempt failed.
         pool_full : bool
-            Whether requests wait for this pool: a retry would take the turn of one
-            that has not been tried.
+            Whether requests are queued for this pool: a retry would then take the place
+            of a request that has not been tried.
         time_left_s : float
-            Until the caller's deadline.
+            Time until the caller's deadline.
         service_s : float
-            What an answer is expected to need.
+            Expected response time.
 
         Returns
         -------
         str
-            ``"retry"``, or the reason why not.
+            ``"retry"``, or the reason not to.
         """
-        ran = failure.outcome != "not_sent"
-        if failure.started or (ran and not failure.idempotent):
+        was_sent = failure.outcome != "not_sent"
+        if failure.response_started or (was_sent and not failure.idempotent):
             return "may_have_run"
         if failure.outcome == "overloaded":
             return "overload"
         if time_left_s < service_s:
             return "deadline"
-        # What was not sent has cost no endpoint anything.
-        if not ran and not pool_full:
+        # A request that was not sent has cost no endpoint anything.
+        if not was_sent and not pool_full:
             return "retry"
         if self._credit < 1.0:
             return "budget"
--- a/src/tamarackrill/decisions/retry_shares.py
+++ b/src/tamarackrill/decisions/retry_shares.py
@@ -1,59 +1,60 @@
-"""Retries that this router may still send to a service, out of the fleet's budget.
-
-Load pattern: endpoints of a service fail, and every router that sees it retries.  The
-budget binds the sum: in any window a service may get `ratio` times its requests, plus a
-fixed number, as repeats.  Were each router to spend the whole of it, a fleet of 60
-would send 60 times the fixed part just when the service is weakest.
-
-Each router takes the ratio of its own requests, which adds up by itself, and an equal
-part of the fixed number.  It asks nobody, so that a cut zone goes on retrying within
-its part.  What it costs: the parts of routers that see no failures lie idle.  A margin
-covers routers that have not yet heard that others have left or joined.
+"""One router's share of the fleet-wide retry budget of a service.
+
+Load pattern: endpoints of a service fail, and every router that notices retries. The
+budget limits the total: in any window, retries to a service may not exceed `ratio`
+times its requests plus a fixed number. If each router spent the whole budget, a fleet
+of 60 would send 60 times the fixed number just when the service is weakest.
+
+Each router uses the ratio of its own requests, which adds up across routers, and an
+equal share of the fixed number. This needs no coordination, so a partitioned zone can
+keep retrying within its share. The cost is that shares of routers that see no failures
+go unused. A safety factor covers routers that have not yet learned that others left or
+joined.
 """
 
 from collections import deque
 from typing import NamedTuple
 
-# Part of the budget that is spent: windows of the routers and of whoever counts do not
-# begin at the same moment, and one request may straddle two.
-MARGIN = 0.8
-# How long a router that has gone still counts.  A zone that is cut off takes the others
-# for gone, and they it: were each side to divide the fixed part anew, the service would
-# get it twice.  Cuts last seconds; one that is replaced is counted twice for so long.
-REMEMBERED_S = 30.0
+# Fraction of the budget to spend: the windows of the routers and of whoever measures
+# the budget start at different times, and a request may span two windows.
+SAFETY_FACTOR = 0.8
+# How long a departed router still counts. The two sides of a network partition each
+# consider the other gone; if both redistributed the fixed part, the service would get
+# it twice. Partitions last seconds; a replaced router is counted twice for this long.
+ROUTER_RETENTION_S = 30.0
 
 
 class FleetSize:
-    """The most routers that were live at a time of late."""
+    """Maximum number of live routers over a recent period."""
 
     def __init__(self) -> None:
         self._seen: deque[tuple[float, int]] = deque()
 
     def observe(self, live: int, now_s: float) -> None:
-        """Take how many are live now."""
+        """Record the current number of live routers."""
         while self._seen and self._seen[-1][1] <= live:
             self._seen.pop()
         self._seen.append((now_s, live))
-        while self._seen[0][0] < now_s - REMEMBERED_S:
+        while self._seen[0][0] < now_s - ROUTER_RETENTION_S:
             self._seen.popleft()
 
     @property
     def largest(self) -> int:
-        """Routers that may be spending the budget."""
+        """Number of routers that may be spending the budget."""
         return self._seen[0][1] if self._seen else 1
 
 
 class BudgetTerms(NamedTuple):
-    """The fleet's budget for one service.
+    """Fleet-wide retry budget of one service.
 
     Parameters
     ----------
     ratio : float
-        Repeats for each request.
+        Retries allowed per request.
     window_s : float
-        Length of any window.
+        Length of the sliding window.
     fixed : float
-        Repeats in a window beyond the ratio.
+        Retries allowed in a window in addition to the ratio.
     """
 
     ratio: float
@@ -62,39 +63,39 @@
 
 
 class RetryShare:
-    """Requests and repeats of one router to one service."""
+    """Requests and retries sent by one router to one service."""
 
     def __init__(self, terms: BudgetTerms) -> None:
         self._terms = terms
         self._requests: deque[float] = deque()
-        self._repeats: deque[float] = deque()
+        self._retries: deque[float] = deque()
 
     def note_request(self, now_s: float) -> None:
-        """Count a request of a client."""
+        """Record a client request."""
         self._requests.append(now_s)
         self._forget(now_s)
 
     def note_retry(self, now_s: float) -> None:
-        """Count a request that is sent to one endpoint more."""
-        self._repeats.append(now_s)
+        """Record a request being sent to another endpoint."""
+        self._retries.append(now_s)
 
     def count_retries_left(self, routers: int, now_s: float) -> float:
-        """Return how many repeats may still be sent now.
+        """Return how many retries may still be sent now.
 
         Parameters
         ----------
         routers : int
-            Routers that share the budget, this one among them.
+            Number of routers that share the budget, including this one.
         now_s : float
-            The present time.
+            Current time.
         """
         self._forget(now_s)
-        part = self._terms.ratio * len(self._requests)
-        part += self._terms.fixed / max(1, routers)
-        return MARGIN * part - len(self._repeats)
+        allowance = self._terms.ratio * len(self._requests)
+        allowance += self._terms.fixed / max(1, routers)
+        return SAFETY_FACTOR * allowance - len(self._retries)
 
     def _forget(self, now_s: float) -> None:
         oldest_s = now_s - self._terms.window_s
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] <= oldest_s:
                 times.popleft()
--- a/tests/test_event_stream.py
+++ b/tests/test_event_stream.py
@@ -10,16 +10,16 @@
 from tamarackrill.testing.worker import make_event
 
 
-def test_half_an_event_does_not_leave():
+def test_partial_event_is_not_forwarded():
     stream = EventStream()
     assert stream.take(make_event(1) + make_event(2)[:5]) == make_event(1)
     assert stream.take(make_event(2)[5:]) == make_event(2)
     assert stream.last_id == 2
 
 
-def test_stream_goes_on_after_the_last_whole_event():
-    # An endpoint crashes in the middle of its third event, and another one goes on.
-    # Were the half event passed on, the client would read a piece that nobody made.
+def test_stream_resumes_after_the_last_complete_event():
+    # An endpoint crashes in the middle of its third event, and another one continues.
+    # If the partial event were forwarded, the client would read a corrupt event.
     stream = EventStream()
     stream.take(make_event(1) + make_event(2) + make_event(3)[:7])
     stream.resume()
@@ -28,15 +28,15 @@
 
 
 def test_events_that_the_client_has_are_dropped_after_a_resume():
-    # The second endpoint begins one event too early.  The client would read a piece of
-    # its answer twice.
+    # The second endpoint starts one event too early. Without the check the client would
+    # read part of its response twice.
     stream = EventStream()
     stream.take(make_event(1) + make_event(2))
     stream.resume()
     assert stream.take(make_event(2) + make_event(3)) == make_event(3)
 
 
-def test_rest_of_a_stream_that_ended_in_order_leaves():
+def test_bytes_after_the_last_event_are_forwarded_at_the_end():
     stream = EventStream()
     stream.take(make_event(1) + b": the end")
     assert stream.finish() == b": the end"
@@ -51,16 +51,16 @@
 
 
 @pytest.mark.parametrize("end", [b"\n\n", b"\r\n\r\n"])
-def test_both_line_ends_are_known(end):
+def test_both_line_endings_are_accepted(end):
     stream = EventStream()
     event = b"id: 7" + end
     assert stream.take(event) == event
     assert stream.last_id == 7
 
 
-def test_event_without_end_is_a_fault():
-    # A faulty endpoint sends bytes without an end.  Without a bound the router would
-    # hold them all until it is killed, and all its clients lose their answers.
+def test_unterminated_event_is_an_error():
+    # A faulty endpoint sends an unterminated event. Without a limit the router would
+    # buffer it until it is killed, and all its clients would lose their responses.
     stream = EventStream()
     with pytest.raises(EventStreamError):
         stream.take(b"x" * (EVENT_MAX_BYTES + 1))
--- a/tests/test_retry_shares.py
+++ b/tests/test_retry_shares.py
@@ -3,8 +3,8 @@
 from hypothesis import strategies as st
 
 from tamarackrill.decisions.retry_shares import (
-    MARGIN,
-    REMEMBERED_S,
+    ROUTER_RETENTION_S,
+    SAFETY_FACTOR,
     BudgetTerms,
     FleetSize,
     RetryShare,
@@ -13,18 +13,18 @@
 TERMS = BudgetTerms(ratio=0.2, window_s=10.0, fixed=56.0)
 
 
-def test_share_is_the_ratio_of_own_requests_and_a_part_of_the_rest():
+def test_share_is_the_ratio_of_own_requests_and_a_part_of_the_fixed_number():
     share = RetryShare(TERMS)
     for _ in range(100):
         share.note_request(0.0)
-    assert share.count_retries_left(8, 1.0) == pytest.approx(MARGIN * (20 + 7))
+    assert share.count_retries_left(8, 1.0) == pytest.approx(SAFETY_FACTOR * (20 + 7))
 
 
-def test_what_left_the_window_counts_no_more():
+def test_requests_outside_the_window_do_not_count():
     share = RetryShare(TERMS)
     share.note_request(0.0)
     share.note_retry(0.0)
-    assert share.count_retries_left(8, 10.1) == pytest.approx(MARGIN * 7)
+    assert share.count_retries_left(8, 10.1) == pytest.approx(SAFETY_FACTOR * 7)
 
 
 @given(
@@ -33,9 +33,9 @@
     )
 )
 def test_fleet_stays_within_the_budget_when_every_request_fails(arrivals):
-    # All endpoints of a service fail at once, and every router repeats what it may.
-    # Were each to take the whole budget, the service would get several times its
-    # requests just when it is weakest.
+    # All endpoints of a service fail at once, and every router retries as much as
+    # allowed. If each used the whole budget, the service would get several times its
+    # normal load just when it is weakest.
     shares = [RetryShare(TERMS) for _ in range(8)]
     requests, repeats, now_s = [], [], 0.0
     for router, pause_s in arrivals:
@@ -51,19 +51,19 @@
         assert len(window) <= TERMS.ratio * len(asked) + TERMS.fixed
 
 
-def test_cut_zone_does_not_divide_the_budget_anew():
-    # A zone with two of eight routers is cut off, and each side takes the other for
-    # gone.  Were both to divide the fixed part among those that are left, the service
-    # would get twice as many repeats as its budget allows.
+def test_partition_does_not_redistribute_the_budget():
+    # A zone with two of eight routers is partitioned, and each side considers the other
+    # gone. If both redistributed the fixed part among the remaining routers, the
+    # service would get twice as many retries as its budget allows.
     size = FleetSize()
     size.observe(8, 0.0)
     size.observe(2, 6.0)
     assert size.largest == 8
-    size.observe(2, REMEMBERED_S + 1.0)
+    size.observe(2, ROUTER_RETENTION_S + 1.0)
     assert size.largest == 2
 
 
-def test_new_routers_count_at_once():
+def test_new_routers_count_immediately():
     size = FleetSize()
     assert size.largest == 1
     size.observe(2, 0.0)
