--- a/src/tamarackrill/decisions/leases.py
+++ b/src/tamarackrill/decisions/leases.py
@@ -1,35 +1,36 @@
-"""A lease on a platform object, with a fencing number that rises with each holder.
+"""A lease on a platform object, with a fencing number that grows with each holder.
 
-Load pattern: one router at a time gives the orders of one kind to engines, and any
-router may fail, or freeze and wake up, at any moment.  Without a lease two routers
-would order at once, and an engine would load and unload models in turn; without the
-checks here a router that was frozen would go on ordering after its successor began.
+Load pattern: one router at a time sends the orders of one kind to engines, and any
+router may fail, or freeze and resume, at any moment. Without a lease two routers would
+send orders at once, and an engine would alternately load and unload models. Without the
+checks here a router that froze would keep sending orders after its successor took over.
 
-No clock is compared between VMs.  A holder counts from the moment before it sent its
-renewal; a candidate counts from the moment it first saw a version.  Both use their
-own monotonic clock, so the holder's lease ends before any candidate thinks so.
+No clock is compared between VMs. A holder measures from the moment before it sent its
+renewal; a candidate measures from the moment it first saw a version. Both use their own
+monotonic clock, so a holder's lease ends before any candidate considers it expired.
 
-Some engines refuse an order whose fencing number is old; others ignore it.  For
-these the holder checks its lease right before each order (`may_order`) and a
-candidate waits out the lease and the longest order on top of it (`LeaseTiming`).
+Some engines reject an order with an outdated fencing number; others ignore the number.
+For the latter, the holder checks its lease right before each order (`may_order`), and a
+candidate waits for the lease plus the longest order delivery (`LeaseTiming`).
 """
 
 from typing import Any, NamedTuple
 
-# A holder renews at this share of the lease, so that two renewals can be lost.
-RENEWAL_SHARE = 1 / 3
+# Fraction of the lease after which the holder renews it, so that two renewals may be
+# lost.
+RENEWAL_FRACTION = 1 / 3
 
 
 class LeaseTiming(NamedTuple):
-    """Durations that all routers must share.
+    """Durations that must be the same on all routers.
 
     Parameters
     ----------
     lease_s : float
-        How long a holder may order after it sent a renewal that was accepted.  With
-        10 s, one holder costs the platform 0.3 writes a second.
+        How long a holder may send orders after it sent a renewal that was accepted.
+        With 10 s, one holder costs the platform 0.3 writes per second.
     order_delivery_max_s : float
-        Longest time from the check before an order to its arrival at the engine.
+        Longest time from the lease check before an order to its arrival at the engine.
     """
 
     lease_s: float = 10.0
@@ -42,11 +43,11 @@
     Parameters
     ----------
     holder : str
-        Identity of one start of one router; a restart is another holder.
+        Identity of one start of one router; a restarted router is a new holder.
     fence : int
-        Fencing number; rises by one with each change of holder.
+        Fencing number; incremented with each change of holder.
     renewal : int
-        Rises with each renewal, so that no two writes are the same.
+        Incremented with each renewal, so that no two writes are the same.
     """
 
     holder: str
@@ -69,14 +70,14 @@
 
 
 class Lease:
-    """What one router knows of one lease.
+    """One router's view of one lease.
 
     Parameters
     ----------
     identity : str
         Unique for each start of a router.
     timing : LeaseTiming
-        Durations.
+        Lease durations.
     """
 
     def __init__(self, identity: str, timing: LeaseTiming) -> None:
@@ -86,59 +87,59 @@
         self._version: int | None = None
         self._first_seen_s = 0.0
         self._valid_until_s = float("-inf")
-        self._was_read = False
-        self._asked_s = float("-inf")
+        self._is_known = False
+        self._last_poll_s = float("-inf")
 
     @property
     def holder(self) -> str:
-        """Identity of the holder that was last seen; empty if there was none."""
+        """Identity of the last known holder; empty if there was none."""
         return self._record.holder if self._record else ""
 
     @property
     def fence(self) -> int:
-        """Fencing number of the holder that was last seen."""
+        """Fencing number of the last known holder."""
         return self._record.fence if self._record else 0
 
     def may_order(self, now_s: float) -> bool:
-        """Return whether an order may be sent now; ask right before each order."""
-        return self._is_own() and now_s < self._valid_until_s
+        """Return whether an order may be sent now; call right before each order."""
+        return self._is_holder() and now_s < self._valid_until_s
 
     def next_action(self, now_s: float) -> Action | None:
-        """Return what to do now to get or keep the lease.
+        """Return the action that acquires or keeps the lease now, if any.
 
         Parameters
         ----------
         now_s : float
-            Present time, on this router's monotonic clock.
+            Current time on this router's monotonic clock.
 
         Returns
         -------
         Action or None
         """
-        if not self._was_read:
+        if not self._is_known:
             return ReadLease()
-        if self._is_own():
+        if self._is_holder():
             return self._renew(now_s)
-        if self._record is not None and now_s < self._free_from_s():
-            return self._look_again(now_s)
+        if self._record is not None and now_s < self._takeover_from_s():
+            return self._poll(now_s)
         return WriteLease(LeaseRecord(self._identity, self.fence + 1, 0), self._version)
 
-    def _look_again(self, now_s: float) -> Action | None:
-        # A candidate that never read again would take every renewal for none, and
-        # be told so by a conflict only after it waited in vain.
-        if now_s - self._asked_s < self._timing.lease_s * RENEWAL_SHARE:
+    def _poll(self, now_s: float) -> Action | None:
+        # A candidate that did not poll would miss the holder's renewals, wait for the
+        # full lease and only then get a version conflict.
+        if now_s - self._last_poll_s < self._timing.lease_s * RENEWAL_FRACTION:
             return None
-        self._asked_s = now_s
+        self._last_poll_s = now_s
         return ReadLease()
 
     def _renew(self, now_s: float) -> Action | None:
         assert self._record is not None
         renewed_s = self._valid_until_s - self._timing.lease_s
-        if now_s < renewed_s + self._timing.lease_s * RENEWAL_SHARE:
+        if now_s < renewed_s + self._timing.lease_s * RENEWAL_FRACTION:
             return None
         if now_s >= self._valid_until_s:
-            # It lapsed.  A successor may have been chosen, or may be writing now;
-            # only a new fencing number, if the version still stands, is safe.
+            # The lease expired. A successor may already hold it or may be writing now;
+            # only a conditional write with a new fencing number is safe.
             record = LeaseRecord(self._identity, self.fence + 1, 0)
         else:
             record = self._record._replace(renewal=self._record.renewal + 1)
@@ -147,39 +148,39 @@
     def handle_read(
         self, record: LeaseRecord | None, version: int | None, now_s: float
     ) -> None:
-        """Take what a read gave; both are None if there is no object."""
-        self._was_read = True
-        self._see(record, version, now_s)
+        """Process the result of a read; both are None if there is no object."""
+        self._is_known = True
+        self._observe(record, version, now_s)
 
     def handle_write(
         self, action: WriteLease, version: int | None, sent_s: float, now_s: float
     ) -> None:
-        """Take the outcome of a write.
+        """Process the result of a write.
 
         Parameters
         ----------
         action : WriteLease
-            What was written.
+            The write that was performed.
         version : int or None
             Version written, or None if the condition did not hold.
         sent_s : float
-            Present time before the write was sent.
+            Time before the write was sent.
         now_s : float
-            Present time.
+            Current time.
         """
         if version is None:
-            self._was_read = False
+            self._is_known = False
             return
-        self._see(action.record, version, now_s)
-        # From before the write was sent: the platform may have taken it then, and a
-        # candidate may have seen it at once.
+        self._observe(action.record, version, now_s)
+        # The lease starts before the write was sent: the platform may have applied it
+        # immediately, and a candidate may have seen it then.
         self._valid_until_s = sent_s + self._timing.lease_s
 
     def handle_lost_write(self) -> None:
-        """Take that a write was not answered: only a read tells what stands."""
-        self._was_read = False
+        """Process a write that got no response: the next read shows its outcome."""
+        self._is_known = False
 
-    def _see(
+    def _observe(
         self, record: LeaseRecord | None, version: int | None, now_s: float
     ) -> None:
         if version != self._version or self._record is None:
@@ -187,14 +188,14 @@
         self._record = record
         self._version = version
 
-    def _is_own(self) -> bool:
+    def _is_holder(self) -> bool:
         return self._record is not None and self._record.holder == self._identity
 
-    def _free_from_s(self) -> float:
+    def _takeover_from_s(self) -> float:
         timing = self._timing
         return self._first_seen_s + timing.lease_s + timing.order_delivery_max_s
 
 
 def read_lease_record(value: dict[str, Any]) -> LeaseRecord:
-    """Return the record that an object's value holds."""
+    """Return the lease record stored in an object's value."""
     return LeaseRecord(value["holder"], value["fence"], value["renewal"])
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -33,22 +33,22 @@
     if isinstance(action, ReadLease):
         lease.handle_read(platform.record, platform.version, now_s)
     elif isinstance(action, WriteLease):
-        fate = rng.choice(["answered", "answered", "answer lost", "dropped", "late"])
-        if fate == "answered":
+        outcome = rng.choice(["answered", "answered", "answer lost", "dropped", "late"])
+        if outcome == "answered":
             lease.handle_write(action, platform.write(action), now_s, now_s)
             return
-        if fate == "answer lost":
+        if outcome == "answer lost":
             platform.write(action)
-        if fate == "late":
+        if outcome == "late":
             platform.delayed.append(action)
         lease.handle_lost_write()
 
 
-def _play(make_lease, seed):
-    """Return how often an order could arrive after one of a later holder."""
+def _simulate(make_lease, seed):
+    """Return how many orders could arrive after a later holder's, and the total."""
     rng = random.Random(seed)
     platform = _Platform()
-    # Each router's clock started at another time.
+    # Each router's clock has a different offset.
     leases = [(make_lease(f"r{i}"), rng.uniform(0, 1000)) for i in range(3)]
     orders = []
     now_s = 0.0
@@ -62,7 +62,7 @@
             _step(lease, platform, rng, now_s + offset_s)
         if lease.may_order(now_s + offset_s):
             orders.append((now_s, lease.fence, lease))
-    # One holder sends its orders one after the other; only those of two can cross.
+    # A holder sends its orders sequentially; only orders of two holders can overlap.
     for at_s, fence, holder in orders:
         late += any(
             other > fence
@@ -73,44 +73,49 @@
     return late, len(orders)
 
 
-def _make(identity):
+def _make_lease(identity):
     return Lease(identity, TIMING)
 
 
-class _TrustsItself(Lease):
+class _IgnoresExpiry(Lease):
     def may_order(self, now_s):
-        return self._is_own()
+        return self._is_holder()
 
 
-class _TakesAtOnce(Lease):
-    def _free_from_s(self):
+class _TakesOverEarly(Lease):
+    def _takeover_from_s(self):
         return self._first_seen_s + self._timing.lease_s / 2
 
 
-class _CountsFromAnswer(Lease):
+class _ExtendsOnLostWrite(Lease):
     def handle_lost_write(self):
         self._valid_until_s += self._timing.lease_s
 
 
-def test_orders_of_two_holders_never_cross():
-    # A router that orders engines is frozen, or cut from the platform, and its lease
-    # lapses while it still believes in it.  An engine that ignores fencing numbers
-    # would take its late order after the successor's, and unload what was just
-    # loaded; callers of that model would be refused.
-    played = [_play(_make, seed) for seed in range(SEEDS)]
-    assert sum(late for late, _ in played) == 0
-    assert sum(count for _, count in played) > SEEDS
+def test_orders_of_two_holders_never_overlap():
+    # A router that sends orders to engines freezes, or loses its connection to the
+    # platform, and its lease expires while it still considers itself the holder. An
+    # engine that ignores fencing numbers would apply its late order after the
+    # successor's and unload a model that was just loaded; callers of that model would
+    # be refused.
+    results = [_simulate(_make_lease, seed) for seed in range(SEEDS)]
+    assert sum(late for late, _ in results) == 0
+    assert sum(count for _, count in results) > SEEDS
 
 
-@pytest.mark.parametrize("broken", [_TrustsItself, _TakesAtOnce, _CountsFromAnswer])
-def test_search_finds_the_fault_without_each_check(broken):
-    played = [_play(lambda name: broken(name, TIMING), seed) for seed in range(SEEDS)]
-    assert sum(late for late, _ in played) > 0
+@pytest.mark.parametrize(
+    "broken", [_IgnoresExpiry, _TakesOverEarly, _ExtendsOnLostWrite]
+)
+def test_simulation_detects_each_missing_check(broken):
+    results = [
+        _simulate(lambda name: broken(name, TIMING), seed) for seed in range(SEEDS)
+    ]
+    assert sum(late for late, _ in results) > 0
 
 
-def test_restart_of_a_holder_is_another_holder():
+def test_restarted_router_is_a_different_holder():
     platform = _Platform()
-    first, second = _make("r/1"), _make("r/2")
+    first, second = _make_lease("r/1"), _make_lease("r/2")
     for now_s in (0.0, 0.1):
         _step(first, platform, random.Random(1), now_s)
     second.handle_read(platform.record, platform.version, 0.2)
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -9,12 +9,12 @@
 
 POOL = [f"engine-{i}" for i in range(5)]
 ENDPOINTS = [Endpoint(name, "engine", ("m",), "", "kranj-hall") for name in POOL]
-BAD = p.shorten_fingerprint("00ff" * 8)
+POISON = p.shorten_fingerprint("00ff" * 8)
 INNOCENT = [101, 102, 103]
 
 
 class Router:
-    """A router's flow around the decisions, without a network."""
+    """A router's request flow around the decision modules, without a network."""
 
     def __init__(self, name):
         self.name = name
@@ -25,7 +25,7 @@
         )
 
     def send(self, fingerprint, now_s):
-        """Return the endpoint, or raise the refusal that the caller receives."""
+        """Return the chosen endpoint, or raise the refusal that the caller receives."""
         self.poison.check(fingerprint, now_s)
         avoided = self.poison.find_endpoints_to_avoid(fingerprint, now_s)
         allowed = set(self.health.find_allowed(POOL, now_s)) - avoided
@@ -41,87 +41,90 @@
             for name in crashed:
                 self.health.forgive(name, now_s)
 
-    def hear(self, peer, now_s):
+    def receive_digest(self, peer, now_s):
         for entry in peer.poison.digest(now_s):
             self.poison.observe_peer(peer.name, *entry, now_s)
 
 
-def test_poison_is_refused_before_a_third_endpoint_across_routers():
-    # A request crashes each endpoint that runs it and its caller sends it again, by
-    # the balancer to another router.  Without a common count each router would lose
-    # two engines of its own to it, and all callers there lose their answers.
+def test_poison_request_is_refused_before_a_third_endpoint_across_routers():
+    # A request crashes each endpoint that runs it, and its caller resends it, which the
+    # load balancer sends to another router. Without a shared count each router would
+    # lose two engines to it, and all callers of these engines would lose their
+    # responses.
     one, other = Router("one"), Router("other")
-    one.crash(BAD, one.send(BAD, 0.0), 0.0)
-    other.hear(one, 1.0)
-    other.crash(BAD, other.send(BAD, 1.0), 1.0)
-    one.hear(other, 2.0)
+    one.crash(POISON, one.send(POISON, 0.0), 0.0)
+    other.receive_digest(one, 1.0)
+    other.crash(POISON, other.send(POISON, 1.0), 1.0)
+    one.receive_digest(other, 2.0)
     for router in (one, other):
         with pytest.raises(Refusal) as refusal:
-            router.send(BAD, 3.0)
+            router.send(POISON, 3.0)
         assert (refusal.value.code, refusal.value.run) == ("poison_request", "unknown")
         assert refusal.value.retry_after_s > 500.0
         assert router.send(INNOCENT[0], 3.0)
 
 
-def test_endpoints_that_poison_crashed_are_not_ejected():
-    # The engines are well again after a restart.  Kept out for the crashes, they would
-    # leave their callers to the rest of the pool, which the next resend takes down.
+def test_endpoints_crashed_by_a_poison_request_are_not_ejected():
+    # The engines are healthy again after a restart. If they stayed ejected, their load
+    # would move to the rest of the pool, which the next resend takes down.
     router = Router("one")
     for endpoint in POOL[:2]:
         router.health.observe_crash(endpoint, 0.0)
-    router.crash(BAD, "engine-0", 15.0)
+    router.crash(POISON, "engine-0", 15.0)
     assert "engine-0" not in router.health.find_allowed(POOL, 15.0)
-    router.crash(BAD, "engine-1", 16.0)
+    router.crash(POISON, "engine-1", 16.0)
     assert router.health.find_allowed(POOL, 16.0) == POOL
 
 
-def test_innocent_requests_of_a_crash_are_told_apart():
-    # A crash breaks all answers in flight, and all are sent again.  Sent together they
-    # would crash the next engine together, and callers who did nothing be refused.
+def test_suspects_are_separated_to_identify_the_poison_request():
+    # A crash breaks all responses in flight, and all requests are resent. If they ran
+    # together, the next engine would crash with all of them, and innocent callers would
+    # be refused.
     router = Router("one")
-    for fingerprint in (BAD, *INNOCENT):
+    for fingerprint in (POISON, *INNOCENT):
         router.poison.observe_crash(fingerprint, "engine-0", 0.0)
     places = {}
-    for fingerprint in (BAD, *INNOCENT):
+    for fingerprint in (POISON, *INNOCENT):
         places[fingerprint] = router.send(fingerprint, 1.0)
         router.poison.start(fingerprint, places[fingerprint], 1.0)
     assert {"engine-0", *places.values()} == set(POOL)
     router.poison.finish(INNOCENT[0], places[INNOCENT[0]])
     router.poison.observe_success(INNOCENT[0])
     assert router.poison.find_endpoints_to_avoid(INNOCENT[0], 2.0) == set()
-    assert places[INNOCENT[0]] not in router.poison.find_endpoints_to_avoid(BAD, 2.0)
+    assert places[INNOCENT[0]] not in router.poison.find_endpoints_to_avoid(POISON, 2.0)
 
 
-def test_one_crash_counts_once_and_a_second_at_the_same_endpoint_again():
-    # A pool of one: the stream breaks, and each try to resume it fails at once, which
-    # is one crash.  After the engine's restart the caller sends the request again.
+def test_crash_counts_once_and_a_later_one_at_the_same_endpoint_counts_again():
+    # A pool of one endpoint: the stream breaks and each attempt to resume it fails
+    # immediately, which is one crash. After the engine's restart the caller sends the
+    # request again.
     poison = PoisonTracker()
-    assert poison.observe_crash(BAD, "only", 0.0)
-    assert not poison.observe_crash(BAD, "only", 1.0)
-    poison.check(BAD, 2.0)
-    assert poison.observe_crash(BAD, "only", 60.0)
+    assert poison.observe_crash(POISON, "only", 0.0)
+    assert not poison.observe_crash(POISON, "only", 1.0)
+    poison.check(POISON, 2.0)
+    assert poison.observe_crash(POISON, "only", 60.0)
     with pytest.raises(Refusal):
-        poison.check(BAD, 61.0)
+        poison.check(POISON, 61.0)
 
 
-def test_count_is_forgotten_in_time_and_not_kept_alive_by_gossip():
-    # Two routers tell each other what they know.  If each passed on what it heard, the
-    # request would be refused for ever, also after the model was mended.
+def test_counts_expire_and_are_not_kept_alive_by_gossip():
+    # Two routers exchange their counts. If each forwarded what it received, the request
+    # would be refused forever, even after the model was fixed.
     one, other = Router("one"), Router("other")
     for endpoint in POOL[:2]:
-        one.poison.observe_crash(BAD, endpoint, 0.0)
-    other.hear(one, p.CRASHES_KEPT_S - 20.0)
-    one.hear(other, p.CRASHES_KEPT_S - 10.0)
-    assert one.send(BAD, p.CRASHES_KEPT_S + 1.0)
-    assert other.send(BAD, 2 * p.CRASHES_KEPT_S)
-    assert one.poison.observe_crash(BAD, POOL[0], p.CRASHES_KEPT_S + 12.0)
+        one.poison.observe_crash(POISON, endpoint, 0.0)
+    other.receive_digest(one, p.CRASH_TTL_S - 20.0)
+    one.receive_digest(other, p.CRASH_TTL_S - 10.0)
+    assert one.send(POISON, p.CRASH_TTL_S + 1.0)
+    assert other.send(POISON, 2 * p.CRASH_TTL_S)
+    assert one.poison.observe_crash(POISON, POOL[0], p.CRASH_TTL_S + 12.0)
 
 
 def test_fingerprints_are_bounded():
     poison = PoisonTracker()
-    for number in range(p.FINGERPRINTS_KEPT + 10):
+    for number in range(p.FINGERPRINTS_MAX + 10):
         poison.observe_crash(number, "e", float(number) / 100)
-    assert len(poison) == p.FINGERPRINTS_KEPT
+    assert len(poison) == p.FINGERPRINTS_MAX
     digest = poison.digest(11.0)
     assert len(digest) == p.DIGEST_ENTRIES_MAX
-    assert digest[0] == CrashCount(p.FINGERPRINTS_KEPT + 9, 1)
+    assert digest[0] == CrashCount(p.FINGERPRINTS_MAX + 9, 1)
