--- a/bench/gossip.py
+++ b/bench/gossip.py
@@ -11,7 +11,7 @@
 
 from tamarackrill.decisions.configuration import ConfigurationDigest
 from tamarackrill.decisions.loads import EndpointLoad
-from tamarackrill.decisions.members import Entries, Gossip
+from tamarackrill.decisions.members import Gossip, PiggybackedEntries
 from tamarackrill.protocol.codec import decode_gossip, encode_gossip
 from tamarackrill.testing.gossip import SESSION_MS, GossipNetwork
 
@@ -106,12 +106,12 @@
     """Return the bytes a second while other modules hand over more than fits."""
     loads = tuple(EndpointLoad(f"engine-{i:04d}", 100) for i in range(100))
     for state in network.states.values():
-        state.entries = Entries(loads=loads)
+        state.entries = PiggybackedEntries(loads=loads)
     wire.sent_bytes = 0
     network.run(STEADY_TICKS)
     sent_bytes = wire.sent_bytes
     for state in network.states.values():
-        state.entries = Entries()
+        state.entries = PiggybackedEntries()
     return _per_router(sent_bytes, len(network.states), STEADY_TICKS)
 
 
--- a/bench/watching.py
+++ b/bench/watching.py
@@ -9,7 +9,7 @@
 from tamarackrill.testing.store_fleet import PlayedFleet, PlayedStore
 
 SIZES = (8, 60, 195, 370)
-NEWS_MAX_S = 4.0
+PROPAGATION_MAX_S = 4.0
 LOST_SHARE = 0.1
 CALM_S = (5.0, 35.0)
 KILLED_S = 36.0
@@ -19,7 +19,9 @@
 
 def measure(count: int) -> list[str]:
     """Return the row of one size."""
-    fleet = PlayedFleet(count, PlayedStore(CHANGES_S), NEWS_MAX_S, loss=LOST_SHARE)
+    fleet = PlayedFleet(
+        count, PlayedStore(CHANGES_S), PROPAGATION_MAX_S, loss=LOST_SHARE
+    )
     fleet.run(CALM_S[0])
     fleet.bytes.clear()
     fleet.run(CALM_S[1])
--- a/src/tamarackrill/decisions/configuration.py
+++ b/src/tamarackrill/decisions/configuration.py
@@ -59,7 +59,7 @@
     content: int
 
 
-class Changes(NamedTuple):
+class ChangeSet(NamedTuple):
     """Objects of one kind that a peer lacks.
 
     Parameters
@@ -70,14 +70,14 @@
         Objects and tombstones.
     complete : int
         Revision up to which the sender lacks nothing.
-    whole : bool
+    is_snapshot : bool
         Whether `objects` is all that exists, instead of what changed.
     """
 
     kind: str
     objects: tuple[ObjectVersion, ...]
     complete: int
-    whole: bool
+    is_snapshot: bool
 
 
 class ConfigurationStore:
@@ -121,15 +121,15 @@
             self._content.get(kind, 0),
         )
 
-    def changes_since(self, kind: str, revision: int) -> Changes:
+    def changes_since(self, kind: str, revision: int) -> ChangeSet:
         """Return what a peer lacks whose `complete` revision is `revision`."""
         held = self._held.get(kind, {}).values()
-        whole = revision < self._history_from.get(kind, 0) or revision == 0
-        lacking = (item for item in held if whole or item.version > revision)
+        is_snapshot = revision < self._history_from.get(kind, 0) or revision == 0
+        lacking = (item for item in held if is_snapshot or item.version > revision)
         ordered = tuple(sorted(lacking, key=lambda item: item.version))
-        return Changes(kind, ordered, self.get_complete(kind), whole)
+        return ChangeSet(kind, ordered, self.get_complete(kind), is_snapshot)
 
-    def take(
+    def apply_version(
         self, kind: str, name: str, version: int, value: dict[str, Any] | None
     ) -> bool:
         """Take one version of an object if it is newer than the one held.
@@ -161,13 +161,13 @@
             self._put(ObjectVersion(kind, name, version, value), held)
         return newer
 
-    def take_changes(self, changes: Changes) -> list[ObjectVersion]:
+    def apply_changes(self, changes: ChangeSet) -> list[ObjectVersion]:
         """Take a list read from the platform, or changes sent by it or a peer.
 
         Parameters
         ----------
         changes : Changes
-            If `whole`, objects that it lacks were deleted by its `complete`
+            If `is_snapshot`, objects that it lacks were deleted by its `complete`
             revision.  Otherwise it must hold everything between this store's
             `complete` revision and its own.
 
@@ -176,8 +176,8 @@
         list of ObjectVersion
             What is newly in force, deletions included.
         """
-        taken = [item for item in changes.objects if self.take(*item)]
-        if changes.whole:
+        taken = [item for item in changes.objects if self.apply_version(*item)]
+        if changes.is_snapshot:
             taken += self._delete_missing(changes)
             # A list does not name what was created and deleted since this store last
             # heard; a peer that still holds such an object would keep it for good if
@@ -186,7 +186,7 @@
         self._advance(changes.kind, changes.complete)
         return taken
 
-    def adopt_complete(self, peer: ConfigurationDigest) -> None:
+    def adopt_complete_revision(self, peer: ConfigurationDigest) -> None:
         """Take from a peer that holds the same up to which revision that is all.
 
         A router that asks the platform only when it hears of a change would otherwise
@@ -195,14 +195,14 @@
         if peer.content == self._content.get(peer.kind, 0):
             self._advance(peer.kind, peer.complete)
 
-    def _delete_missing(self, changes: Changes) -> list[ObjectVersion]:
+    def _delete_missing(self, changes: ChangeSet) -> list[ObjectVersion]:
         listed = {item.name for item in changes.objects if item.value is not None}
         gone = [
             ObjectVersion(changes.kind, item.name, changes.complete, None)
             for item in self.items(changes.kind)
             if item.name not in listed and item.version < changes.complete
         ]
-        return [item for item in gone if self.take(*item)]
+        return [item for item in gone if self.apply_version(*item)]
 
     def _advance(self, kind: str, revision: int) -> None:
         self._complete[kind] = max(self.get_complete(kind), revision)
--- a/src/tamarackrill/decisions/hashing.py
+++ b/src/tamarackrill/decisions/hashing.py
@@ -38,7 +38,7 @@
     return int.from_bytes(digest, "big")
 
 
-class Members(NamedTuple):
+class HashedMembers(NamedTuple):
     """Members with their hashes, for those who rank the same ones over and over."""
 
     names: tuple[str, ...]
@@ -50,18 +50,18 @@
     return hash_name(name)
 
 
-def hash_members(names: Iterable[str]) -> Members:
+def hash_members(names: Iterable[str]) -> HashedMembers:
     """Return members with their hashes."""
     listed = tuple(names)
-    return Members(listed, tuple(map(_hash_member, listed)))
+    return HashedMembers(listed, tuple(map(_hash_member, listed)))
 
 
 @lru_cache(maxsize=_LISTS_KEPT)
-def _remember_members(names: tuple[str, ...]) -> Members:
+def _remember_members(names: tuple[str, ...]) -> HashedMembers:
     return hash_members(names)
 
 
-def _score(key: str, members: Members) -> list[int]:
+def _score(key: str, members: HashedMembers) -> list[int]:
     key_hash = hash_name(key)
     # Written as one expression: a call for each member trebles the time, which is
     # what limits a decision over 780 members.
@@ -95,7 +95,7 @@
     return order_members(key, _remember_members(tuple(members)), count)
 
 
-def order_members(key: str, members: Members, count: int) -> list[str]:
+def order_members(key: str, members: HashedMembers, count: int) -> list[str]:
     """Return the members that `key` prefers, best first; see `rendezvous_order`."""
     scored = zip(_score(key, members), members.names, strict=True)
     return [member for _, member in heapq.nlargest(count, scored)]
--- a/src/tamarackrill/decisions/lapses.py
+++ b/src/tamarackrill/decisions/lapses.py
@@ -18,10 +18,10 @@
 
 # Time in which entries are written again once the store is back, with a heartbeat's
 # delay of the list on top.
-LAPSE_GRACE_S = 2.2
+EXPIRY_GRACE_S = 2.2
 
 
-class Lapses:
+class ExpiryGrace:
     """Entries that disappeared around an outage of the store."""
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
     def observe_removed(self, name: str, now_s: float) -> bool:
         """Take that an entry is missing; return whether it is held for now."""
         back_s = now_s if self._is_lost else self._back_s
-        until_s = back_s + LAPSE_GRACE_S
+        until_s = back_s + EXPIRY_GRACE_S
         if until_s <= now_s:
             return False
         self._held[name] = until_s
--- a/src/tamarackrill/decisions/leaving.py
+++ b/src/tamarackrill/decisions/leaving.py
@@ -14,7 +14,7 @@
 Source = Literal["vm_list", "endpoint", "object"]
 
 
-class LeavingNews(NamedTuple):
+class LeavingReport(NamedTuple):
     """What a source says of an endpoint.
 
     Parameters
@@ -35,14 +35,14 @@
     incarnation: int = 0
 
 
-class Leaving:
+class LeavingEndpoints:
     """The endpoints that are leaving, as one router knows them."""
 
     def __init__(self) -> None:
         self._sources: dict[str, set[Source]] = {}
         self._incarnations: dict[str, int] = {}
 
-    def observe(self, news: LeavingNews) -> bool:
+    def observe(self, news: LeavingReport) -> bool:
         """Take news; return whether it changed if the endpoint gets new work."""
         before = self.is_leaving(news.endpoint)
         known = self._incarnations.get(news.endpoint, 0)
--- a/src/tamarackrill/decisions/members.py
+++ b/src/tamarackrill/decisions/members.py
@@ -33,12 +33,12 @@
     LEFT = 5
 
 
-SUSPECTED = {
+SUSPECT_STATES = {
     MemberState.ALIVE: MemberState.SUSPECT,
     MemberState.LEAVING: MemberState.LEAVING_SUSPECT,
 }
-TAKES_WORK = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
-GONE = frozenset({MemberState.DEAD, MemberState.LEFT})
+SERVING_STATES = frozenset({MemberState.ALIVE, MemberState.SUSPECT})
+GONE_STATES = frozenset({MemberState.DEAD, MemberState.LEFT})
 
 
 class MemberRecord(NamedTuple):
@@ -72,7 +72,7 @@
         return mine > (other.incarnation, other.state)
 
 
-class Entries(NamedTuple):
+class PiggybackedEntries(NamedTuple):
     """What other modules exchange through gossip, most urgent first."""
 
     crashes: tuple[CrashCount, ...] = ()
@@ -129,7 +129,7 @@
     after: str = ""
     buckets: bytes = b""
     configuration: tuple[ConfigurationDigest, ...] = ()
-    entries: Entries = Entries()
+    entries: PiggybackedEntries = PiggybackedEntries()
 
 
 def hash_record(record: MemberRecord) -> int:
@@ -138,13 +138,13 @@
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest())
 
 
-def weigh_record(record: MemberRecord) -> int:
+def estimate_record_bytes(record: MemberRecord) -> int:
     """Return the most bytes that a record takes in a message."""
     texts = (record.name, record.zone, record.address, record.peer_address)
     return _RECORD_BYTES + sum(len(text.encode()) for text in texts)
 
 
-def weigh_base(sender: str, after: str, buckets: bytes, digests: int) -> int:
+def estimate_base_bytes(sender: str, after: str, buckets: bytes, digests: int) -> int:
     """Return the most bytes of a message without records and entries."""
     return (
         _MESSAGE_BYTES
@@ -155,12 +155,14 @@
     )
 
 
-def choose_entries(entries: Entries, limit_bytes: int) -> tuple[Entries, int]:
+def choose_entries(
+    entries: PiggybackedEntries, limit_bytes: int
+) -> tuple[PiggybackedEntries, int]:
     """Return the first entries that fit, and what they weigh in bytes."""
     crashes, left = _fit(entries.crashes, [_CRASH_BYTES], limit_bytes)
     weights = [_LOAD_BYTES + len(item.endpoint.encode()) for item in entries.loads]
     loads, left = _fit(entries.loads, weights, left)
-    return Entries(crashes, loads), limit_bytes - left
+    return PiggybackedEntries(crashes, loads), limit_bytes - left
 
 
 def _fit(items: tuple, weights: list[int], limit_bytes: int) -> tuple[tuple, int]:
--- a/src/tamarackrill/decisions/membership.py
+++ b/src/tamarackrill/decisions/membership.py
@@ -26,19 +26,19 @@
 from tamarackrill.contracts import Vm
 from tamarackrill.decisions.configuration import ConfigurationDigest
 from tamarackrill.decisions.members import (
-    GONE,
-    SUSPECTED,
-    TAKES_WORK,
-    Entries,
+    GONE_STATES,
+    SERVING_STATES,
+    SUSPECT_STATES,
     Gossip,
     MemberRecord,
     MemberState,
+    PiggybackedEntries,
     Purpose,
     choose_entries,
-    weigh_base,
-    weigh_record,
+    estimate_base_bytes,
+    estimate_record_bytes,
 )
-from tamarackrill.decisions.views import View, take_turn
+from tamarackrill.decisions.views import View, rotate
 
 TICK_S = 1.0
 # Below a tick, so that a tick that comes a little early still sees the timeout.
@@ -46,20 +46,20 @@
 PING_TRIES = 2
 # A rumour reaches 370 routers, the suspect among them, within this time in the runs of
 # bench/gossip.py; a shorter one removes routers that only missed two pings.
-SUSPICION_S = 5.0
+SUSPICION_TIMEOUT_S = 5.0
 # A tick so late means that the process was frozen: its view of others is old, and
 # theirs of it may say that it is dead.
-FREEZE_GAP_S = 3.0
+FREEZE_THRESHOLD_S = 3.0
 # Removed routers are probed for so long, since a cut zone comes back within minutes.
 # Longer for those on the VM list.
-FORGET_S = 600.0
+GONE_RETENTION_S = 600.0
 # One ping in so many crosses zones.
 CROSS_ZONE_ONE_IN = 4
 CATCH_UP_PINGS = 4
 # A router that knows fewer than this share of its peer's routers is catching up.
 CATCH_UP_SHARE = 0.9
 # Routers that one who is catching up is told of in any case, half of them of its zone.
-INTRODUCED = 6
+INTRODUCTION_RECORDS = 6
 ANNOUNCE_PINGS = 6
 
 # Sent and received together stay below 3 KB/s in any minute, as each message sent is
@@ -76,11 +76,11 @@
 
 
 class Send(NamedTuple):
-    """Send a message to a router, by UDP; it weighs at most `weight_bytes`."""
+    """Send a message to a router, by UDP; it weighs at most `estimated_bytes`."""
 
     peer_address: str
     message: Gossip
-    weight_bytes: int
+    estimated_bytes: int
 
 
 class MemberChanged(NamedTuple):
@@ -90,28 +90,28 @@
     before: MemberState | None
 
 
-class PeerHeard(NamedTuple):
+class PeerStateReceived(NamedTuple):
     """A router told what configuration it holds and what other modules exchange."""
 
     sender: str
     address: str
     configuration: tuple[ConfigurationDigest, ...]
-    entries: Entries
+    entries: PiggybackedEntries
 
 
-class StaleDropped(NamedTuple):
+class StaleMessageDropped(NamedTuple):
     """A message was a replay or was overtaken by a later one."""
 
     sender: str
 
 
-class Froze(NamedTuple):
+class ProcessFroze(NamedTuple):
     """The process did not run for a while."""
 
     gap_s: float
 
 
-Action = Send | MemberChanged | PeerHeard | StaleDropped | Froze
+Action = Send | MemberChanged | PeerStateReceived | StaleMessageDropped | ProcessFroze
 
 
 class _Ping(NamedTuple):
@@ -140,7 +140,7 @@
 
     def __init__(self, own: MemberRecord, contacts: tuple[str, ...] = ()) -> None:
         self.configuration: tuple[ConfigurationDigest, ...] = ()
-        self.entries = Entries()
+        self.entries = PiggybackedEntries()
         self._view = View(own)
         self._session = own.incarnation
         self._sequence = 0
@@ -173,16 +173,17 @@
         members = [
             record
             for record in self.list_members()
-            if record.state in TAKES_WORK and not self._is_listed_leaving(record.name)
+            if record.state in SERVING_STATES
+            and not self._is_listed_leaving(record.name)
         ]
         return sorted(members)
 
     def list_members(self) -> list[MemberRecord]:
         """Return all routers that are not gone, by name."""
-        others = (r for r in self._view.records.values() if r.state not in GONE)
+        others = (r for r in self._view.records.values() if r.state not in GONE_STATES)
         return sorted([self.own, *others])
 
-    def take_vm_list(self, vms: Iterable[Vm]) -> None:
+    def update_vm_list(self, vms: Iterable[Vm]) -> None:
         """Take the platform's VM list, which lags.
 
         It gives addresses of routers to ping and says early who is leaving.  It
@@ -209,7 +210,7 @@
         list of Action
         """
         actions = self._note_time(now_s)
-        if self.own.state in GONE:
+        if self.own.state in GONE_STATES:
             return actions
         actions += self._expire_pings(now_s)
         actions += self._expire_suspects(now_s)
@@ -224,9 +225,9 @@
         """Take a message whose sender is proved, and return what to do."""
         mark = (message.session, message.sequence)
         if mark <= self._heard.get(message.sender, (-1, -1)):
-            return [StaleDropped(message.sender)]
+            return [StaleMessageDropped(message.sender)]
         if not self._is_current(message):
-            return [StaleDropped(message.sender)]
+            return [StaleMessageDropped(message.sender)]
         self._heard[message.sender] = mark
         self._pings.pop(message.sender, None)
         actions: list[Action] = []
@@ -239,7 +240,7 @@
         if message.purpose == Purpose.PING:
             actions.append(self._ack(sender, message))
         actions.append(
-            PeerHeard(
+            PeerStateReceived(
                 sender.name, sender.address, message.configuration, message.entries
             )
         )
@@ -259,7 +260,7 @@
             actions.append(self._build(peer, Purpose.PUSH))
         return actions
 
-    def report(self, name: str, entries: Entries) -> list[Action]:
+    def push_entries(self, name: str, entries: PiggybackedEntries) -> list[Action]:
         """Send entries to one router at once, as far as they and the budget allow."""
         peer = self._view.get(name)
         if peer is None or peer == self.own or self._allowance_bytes < 0:
@@ -286,7 +287,7 @@
         self._ticked_s = now_s
         refilled = self._allowance_bytes + gap_s * SENT_BYTES_PER_S
         self._allowance_bytes = min(SENT_BURST_BYTES, refilled)
-        if gap_s < FREEZE_GAP_S:
+        if gap_s < FREEZE_THRESHOLD_S:
             return []
         # Every timer is overdue after a freeze.  Were they to fire, the one router
         # that did not run would suspect all those that did.
@@ -294,7 +295,7 @@
         for record in self._view.list_suspects():
             self._view.changed_s[record.name] = now_s
         self._raise_incarnation(self.own.incarnation)
-        return [Froze(gap_s)]
+        return [ProcessFroze(gap_s)]
 
     def _raise_incarnation(self, seen: int) -> None:
         higher = max(seen, self.own.incarnation) + 1
@@ -310,7 +311,7 @@
         for name, ping in overdue:
             del self._pings[name]
             record = self._view.get(name)
-            if record is None or record.state in GONE:
+            if record is None or record.state in GONE_STATES:
                 continue
             if ping.tries < PING_TRIES:
                 actions.append(self._ping(record, now_s, ping.tries + 1))
@@ -326,7 +327,7 @@
         for record in self._view.list_suspects():
             unlisted = record.name in self._once_listed - self._seeds.keys()
             waited_s = now_s - self._view.changed_s[record.name]
-            if unlisted or waited_s >= SUSPICION_S:
+            if unlisted or waited_s >= SUSPICION_TIMEOUT_S:
                 dead = record._replace(state=MemberState.DEAD)
                 self._view.apply(dead, now_s)
                 actions.append(MemberChanged(dead, record.state))
@@ -334,8 +335,8 @@
 
     def _forget_gone(self, now_s: float) -> None:
         for record in list(self._view.records.values()):
-            old = now_s - self._view.changed_s[record.name] >= FORGET_S
-            if record.state in GONE and old and record.name not in self._seeds:
+            old = now_s - self._view.changed_s[record.name] >= GONE_RETENTION_S
+            if record.state in GONE_STATES and old and record.name not in self._seeds:
                 self._view.forget(record.name)
                 self._once_listed.discard(record.name)
                 self._heard.pop(record.name, None)
@@ -410,10 +411,10 @@
         others = [r for r in self.list_members() if r not in (self.own, newcomer)]
         near = [r for r in others if r.zone == newcomer.zone]
         far = [r for r in others if r.zone != newcomer.zone]
-        half = INTRODUCED // 2
+        half = INTRODUCTION_RECORDS // 2
         start = self._introductions * half
         self._introductions += 1
-        return [*take_turn(near, start, half), *take_turn(far, start, half)]
+        return [*rotate(near, start, half), *rotate(far, start, half)]
 
     def _take_record(
         self, record: MemberRecord, now_s: float, is_news: bool
@@ -442,7 +443,7 @@
         purpose: Purpose,
         after: str = "",
         asked: Gossip | None = None,
-        entries: Entries | None = None,
+        entries: PiggybackedEntries | None = None,
         page: list[MemberRecord] | None = None,
     ) -> Send:
         asks = purpose == Purpose.PING and self._differs
@@ -456,7 +457,7 @@
         page = page or []
         if asked is not None:
             page, after = self._view.list_differing(asked.buckets, asked.after, left)
-            left -= sum(weigh_record(record) for record in page)
+            left -= sum(estimate_record_bytes(record) for record in page)
         rumours = self._view.take_rumours(left)
         members += [r for r in rumours if r.name not in (self.own.name, peer.name)]
         weight = self._weigh(after, buckets, [*members, *page]) + entries_bytes
@@ -480,8 +481,8 @@
 
     def _weigh(self, after: str, buckets: bytes, records: list[MemberRecord]) -> int:
         digests = len(self.configuration)
-        base = weigh_base(self.own.name, after, buckets, digests)
-        return base + sum(weigh_record(record) for record in records)
+        base = estimate_base_bytes(self.own.name, after, buckets, digests)
+        return base + sum(estimate_record_bytes(record) for record in records)
 
     def _limit_message(self) -> int:
         affordable = max(MESSAGE_MIN_BYTES, int(self._allowance_bytes))
@@ -490,6 +491,6 @@
     def _list_unrefuted(self, peer: MemberRecord) -> list[MemberRecord]:
         """Return what is held against a router, so that it can refute it."""
         held = self._view.records.get(peer.name)
-        if held is None or held.state in SUSPECTED:
+        if held is None or held.state in SUSPECT_STATES:
             return []
         return [held]
--- a/src/tamarackrill/decisions/news_shares.py
+++ b/src/tamarackrill/decisions/news_shares.py
@@ -21,56 +21,60 @@
 STAGGER_MAX_S = 0.2
 # From the decision to ask to the answer's first byte; the store takes 4 ms, and a loop
 # that is busy some tens more.
-CALL_S = 0.1
+STORE_CALL_S = 0.1
 # A link is loaded most after a restart or a cut, when the next change has to pass it;
 # and an answer may then hold two versions, one after the other.
 READ_MARGIN = 2.0
 # Evidence of another router is as old as its watch waits, and its bulletin may be lost
 # once; whoever then asks the store itself still has a short change in force in time.
-TRUST_MAX_SHARE = 0.8
+EVIDENCE_AGE_MAX_SHARE = 0.8
 # Below this the watcher's bulletins could not renew trust, and each router would ask
 # for itself all the time.
-TRUST_MIN_SHARE = 0.4
+EVIDENCE_AGE_MIN_SHARE = 0.4
 # A watch can fall silent though its connection lives: a store that drops its history
 # may neither report a change that was made meanwhile nor end the watch.
 WATCH_MAX_SHARE = 0.5
 # Between the end of a watch and its bulletin at the others: two of these, as one may be
 # lost, come each quarter of a second.
-SPREAD_S = 0.5
+DISSEMINATION_S = 0.5
 # Reads that are kept: a storm of changes, of which the slowest counts.
 READS_KEPT = 8
 
 
-class NewsShares(NamedTuple):
+class PropagationTimes(NamedTuple):
     """How long a router waits for news of one kind of objects.
 
     Parameters
     ----------
-    trust_s : float
+    evidence_max_age_s : float
         Age at which another router's evidence is no longer believed.
     watch_s : float
         Longest wait of a watch of its own.
     """
 
-    trust_s: float
+    evidence_max_age_s: float
     watch_s: float
 
 
-def share_news_time(news_max_s: float, read_s: float) -> NewsShares:
+def split_propagation_time(propagation_max_s: float, read_s: float) -> PropagationTimes:
     """Return how long to wait for news, so that reading it still ends in time.
 
     Parameters
     ----------
-    news_max_s : float
+    propagation_max_s : float
         Time in which a change has to be in force.
     read_s : float
         Time from the first byte of a change to its being in force.
     """
-    left_s = news_max_s - STAGGER_MAX_S - CALL_S - READ_MARGIN * read_s
-    trust_s = min(TRUST_MAX_SHARE * news_max_s, left_s)
-    trust_s = max(TRUST_MIN_SHARE * news_max_s, trust_s)
-    watch_s = min(WATCH_MAX_SHARE * news_max_s, trust_s - SPREAD_S)
-    return NewsShares(trust_s, max(SPREAD_S, watch_s))
+    left_s = propagation_max_s - STAGGER_MAX_S - STORE_CALL_S - READ_MARGIN * read_s
+    evidence_max_age_s = min(EVIDENCE_AGE_MAX_SHARE * propagation_max_s, left_s)
+    evidence_max_age_s = max(
+        EVIDENCE_AGE_MIN_SHARE * propagation_max_s, evidence_max_age_s
+    )
+    watch_s = min(
+        WATCH_MAX_SHARE * propagation_max_s, evidence_max_age_s - DISSEMINATION_S
+    )
+    return PropagationTimes(evidence_max_age_s, max(DISSEMINATION_S, watch_s))
 
 
 class ReadTimes:
--- a/src/tamarackrill/decisions/pools.py
+++ b/src/tamarackrill/decisions/pools.py
@@ -67,7 +67,7 @@
         return narrowed
 
     @cached_property
-    def _members(self) -> hashing.Members:
+    def _members(self) -> hashing.HashedMembers:
         return hashing.hash_members(self.by_name)
 
     @cached_property
--- a/src/tamarackrill/decisions/reading.py
+++ b/src/tamarackrill/decisions/reading.py
@@ -20,10 +20,10 @@
 # version, or one that has grown by half.
 SEVERAL_FACTOR = 1.5
 # What an answer holds besides the object; a short one isn't worth a second call.
-SLACK_BYTES = 16 * 1024
+ENVELOPE_BYTES = 16 * 1024
 
 
-class Reading:
+class ReadPlanner:
     """What is known of the versions of one kind that this router has not read."""
 
     def __init__(self) -> None:
@@ -36,9 +36,9 @@
         """Longest answer of a watch to read; None before the first list."""
         if not self._listed_bytes:
             return None
-        return int(SEVERAL_FACTOR * self._listed_bytes) + SLACK_BYTES
+        return int(SEVERAL_FACTOR * self._listed_bytes) + ENVELOPE_BYTES
 
-    def hear(self, digest: ConfigurationDigest) -> None:
+    def observe_peer(self, digest: ConfigurationDigest) -> None:
         """Take what another router holds."""
         self._news = digest
 
--- a/src/tamarackrill/decisions/transit.py
+++ b/src/tamarackrill/decisions/transit.py
@@ -22,13 +22,13 @@
 
 # A loaded link takes some tens of ms.  Whatever takes longer, or seems to because a
 # clock stood still, is asked about again.
-USUAL_MAX_S = 0.1
+TYPICAL_TRANSIT_MAX_S = 0.1
 # Clocks drift by some ms in this time.
-KEPT_S = 30.0
+SAMPLE_MAX_AGE_S = 30.0
 # Between two questions to one router.
-ASK_EVERY_S = 1.0
+CLOCK_REQUEST_INTERVAL_S = 1.0
 # A first question or its answer may be lost.
-ASK_AGAIN_S = 0.25
+FIRST_REQUEST_RETRY_S = 0.25
 # A clock is told in whole milliseconds.
 CLOCK_STEP_S = 0.001
 
@@ -54,13 +54,13 @@
     based_s: float = -math.inf
 
 
-class TransitTimes:
+class TransitBounds:
     """What one router knows of the clocks of others."""
 
     def __init__(self) -> None:
         self._senders: dict[str, _Sender] = {}
 
-    def observe_question(self, sender: str, session: int, now_s: float) -> None:
+    def observe_request(self, sender: str, session: int, now_s: float) -> None:
         """Take that a router is being asked."""
         known = self._find(sender, session)
         self._senders[sender] = known._replace(asked_s=now_s)
@@ -85,7 +85,7 @@
         """
         known = self._find(sender, session)
         base_s = asked_s - sent_s
-        is_old = known.based_s < now_s - KEPT_S
+        is_old = known.based_s < now_s - SAMPLE_MAX_AGE_S
         if known.base_s is None or base_s > known.base_s or is_old:
             known = known._replace(base_s=base_s)
         self._senders[sender] = known._replace(based_s=now_s)
@@ -100,7 +100,7 @@
         transit_s = now_s - (base_s + sent_s)
         return None if transit_s < -CLOCK_STEP_S else transit_s
 
-    def must_ask(
+    def must_request_clock(
         self, sender: str, session: int, transit_s: float | None, now_s: float
     ) -> bool:
         """Return whether to ask a router for its clock.
@@ -118,9 +118,12 @@
         """
         known = self._find(sender, session)
         if transit_s is None:
-            return now_s >= known.asked_s + ASK_AGAIN_S
-        is_doubtful = transit_s > USUAL_MAX_S or known.based_s < now_s - KEPT_S
-        return is_doubtful and now_s >= known.asked_s + ASK_EVERY_S
+            return now_s >= known.asked_s + FIRST_REQUEST_RETRY_S
+        is_doubtful = (
+            transit_s > TYPICAL_TRANSIT_MAX_S
+            or known.based_s < now_s - SAMPLE_MAX_AGE_S
+        )
+        return is_doubtful and now_s >= known.asked_s + CLOCK_REQUEST_INTERVAL_S
 
     def forget(self) -> None:
         """Drop all that is known, as when the own clock has stood still."""
--- a/src/tamarackrill/decisions/views.py
+++ b/src/tamarackrill/decisions/views.py
@@ -9,22 +9,22 @@
 import zlib
 
 from tamarackrill.decisions.members import (
-    GONE,
-    SUSPECTED,
+    GONE_STATES,
+    SUSPECT_STATES,
     MemberRecord,
     MemberState,
+    estimate_record_bytes,
     hash_record,
-    weigh_record,
 )
 
 _HASH_MODULUS = 1 << 64
 # A router that lacks five records of 370 is sent about fifteen.
-BUCKETS = 128
+BUCKET_COUNT = 128
 # Sends of one change by each router, as a multiple of log2 of their number.  Whoever
 # is left out compares views and asks, so that more would only cost bytes.
-SENDS_FACTOR = 1.5
+RETRANSMIT_FACTOR = 1.5
 # Sends saved for each time that a change is heard from others who know it.
-KNOWN_SENDS = 2
+DUPLICATE_SENDS_SAVED = 2
 
 
 class View:
@@ -43,13 +43,15 @@
         self.content = 0
         self._sends_left: dict[str, int] = {}
         self._short: set[str] = set()
-        self._buckets = bytearray(BUCKETS)
+        self._buckets = bytearray(BUCKET_COUNT)
         self._count(None, own)
 
     @property
     def known(self) -> int:
         """Number of routers that are not gone, this one included."""
-        return 1 + sum(record.state not in GONE for record in self.records.values())
+        return 1 + sum(
+            record.state not in GONE_STATES for record in self.records.values()
+        )
 
     def get(self, name: str) -> MemberRecord | None:
         """Return the record of a router, or None if it is unknown."""
@@ -80,7 +82,7 @@
             Whether it was newer.
         """
         held = self.records.get(record.name)
-        if held is None and (record.state in GONE or not record.peer_address):
+        if held is None and (record.state in GONE_STATES or not record.peer_address):
             return False
         if held is not None:
             if not record.replaces(held):
@@ -104,13 +106,13 @@
     def suspect(self, name: str, now_s: float) -> bool:
         """Hold a router that does not answer for suspect."""
         held = self.records.get(name)
-        if held is None or held.state not in SUSPECTED:
+        if held is None or held.state not in SUSPECT_STATES:
             return False
-        return self.apply(held._replace(state=SUSPECTED[held.state]), now_s)
+        return self.apply(held._replace(state=SUSPECT_STATES[held.state]), now_s)
 
     def list_suspects(self) -> list[MemberRecord]:
         """Return the routers held for suspect."""
-        return [r for r in self.records.values() if r.state in SUSPECTED.values()]
+        return [r for r in self.records.values() if r.state in SUSPECT_STATES.values()]
 
     def forget(self, name: str) -> None:
         """Drop the record of a router that is gone."""
@@ -124,7 +126,7 @@
         chosen = []
         for name in sorted(self._sends_left, key=self._sends_left.__getitem__)[::-1]:
             record = self._shorten(name)
-            weight = weigh_record(record)
+            weight = estimate_record_bytes(record)
             if weight > limit_bytes:
                 break
             limit_bytes -= weight
@@ -167,7 +169,7 @@
             # guess of this side, and would remove it on the other side of a cut.
             if record.name <= after or record.state == MemberState.DEAD or skipped:
                 continue
-            limit_bytes -= weigh_record(record)
+            limit_bytes -= estimate_record_bytes(record)
             if limit_bytes < 0:
                 return chosen, chosen[-1].name if chosen else after
             chosen.append(record)
@@ -186,21 +188,21 @@
 
     def _pass_on(self, name: str) -> None:
         routers = len(self.records) + 1
-        self._sends_left[name] = math.ceil(SENDS_FACTOR * math.log2(routers + 1))
+        self._sends_left[name] = math.ceil(RETRANSMIT_FACTOR * math.log2(routers + 1))
 
     def _lose_interest(self, heard: MemberRecord, held: MemberRecord) -> None:
         """Pass on less often what others already know."""
         left = self._sends_left.get(held.name)
         if left is None or heard[:3] != held[:3]:
             return
-        if left > KNOWN_SENDS:
-            self._sends_left[held.name] = left - KNOWN_SENDS
+        if left > DUPLICATE_SENDS_SAVED:
+            self._sends_left[held.name] = left - DUPLICATE_SENDS_SAVED
         else:
             del self._sends_left[held.name]
 
     def _count(self, before: MemberRecord | None, after: MemberRecord | None) -> None:
         for record, sign in ((before, -1), (after, 1)):
-            if record is not None and record.state not in GONE:
+            if record is not None and record.state not in GONE_STATES:
                 value = sign * hash_record(record)
                 self.content = (self.content + value) % _HASH_MODULUS
                 bucket = _find_bucket(record.name)
@@ -208,12 +210,10 @@
 
 
 def _find_bucket(name: str) -> int:
-    return zlib.crc32(name.encode()) % BUCKETS
+    return zlib.crc32(name.encode()) % BUCKET_COUNT
 
 
-def take_turn(
-    records: list[MemberRecord], start: int, count: int
-) -> list[MemberRecord]:
+def rotate(records: list[MemberRecord], start: int, count: int) -> list[MemberRecord]:
     """Return `count` records from `start` on, beginning anew after the last."""
     begin = start % len(records) if records else 0
     return [*records[begin:], *records[:begin]][:count]
--- a/src/tamarackrill/decisions/watching.py
+++ b/src/tamarackrill/decisions/watching.py
@@ -41,9 +41,9 @@
 from tamarackrill.decisions.configuration import ConfigurationDigest, needs_changes
 from tamarackrill.decisions.news_shares import (
     STAGGER_MAX_S,
-    NewsShares,
+    PropagationTimes,
     ReadTimes,
-    share_news_time,
+    split_propagation_time,
 )
 
 # Between one router's start to ask the store and the next one's: an answer takes 4 ms,
@@ -53,7 +53,7 @@
 # fleet of 60 that starts at once, most know all others of their zone by then.
 SETTLE_S = 7.0
 # A new router asks again a little before its own evidence is too old to be believed.
-OWN_TRUST_SHARE = 0.85
+OWN_EVIDENCE_SHARE = 0.85
 # A head asks before the other routers of its zone do, and tells them.
 HEAD_LEAD_S = 0.3
 # From the watcher to a head, along the tree of a large zone, and to one that asked.
@@ -62,9 +62,9 @@
 FAN_OUT = 8
 # A watcher that the store turned away tries again after this time, while it hears of
 # the store by others.
-REFUSED_REST_S = 3.0
+REFUSED_BACKOFF_S = 3.0
 # Between two calls of a router that leaves it to others to find the store back.
-RETRY_SELDOM_S = 6.0
+FOLLOWER_RETRY_S = 6.0
 
 _FLEET = "fleet"
 
@@ -130,7 +130,7 @@
     evidence: Evidence
 
 
-class Watching:
+class WatchPolicy:
     """Whether one router asks the store itself.
 
     Parameters
@@ -139,13 +139,13 @@
         Name of this router.
     zone : str
         Its availability zone.
-    trust_s : float
+    evidence_max_age_s : float
         Age at which another's evidence is no longer believed, at most.
     settled_s : float, default=0.0
         Until then the members of the zone are not yet known.
-    news_max_s : float, optional
+    propagation_max_s : float, optional
         Time in which a change has to be in force; trust ends early enough to read it.
-    watched_at_once : collection of str, optional
+    kinds_watched_at_start : collection of str, optional
         Kinds that are watched before the members of the zone are known.
 
     Attributes
@@ -158,17 +158,17 @@
         self,
         own: str,
         zone: str,
-        trust_s: float,
+        evidence_max_age_s: float,
         settled_s: float = 0.0,
-        news_max_s: float = math.inf,
-        watched_at_once: Collection[str] = (),
+        propagation_max_s: float = math.inf,
+        kinds_watched_at_start: Collection[str] = (),
     ) -> None:
         self._settled_s = settled_s
         self._own = own
         self._zone = zone
-        self._trust_s = trust_s
-        self._news_max_s = news_max_s
-        self._watched_at_once = watched_at_once
+        self._trust_s = evidence_max_age_s
+        self._news_max_s = propagation_max_s
+        self._watched_at_once = kinds_watched_at_start
         # Places in the orders of the fleet, of the heads of zones and of its zone.
         self._fleet_rank = 0
         self._head_rank = 0
@@ -214,7 +214,7 @@
         self._zone_rank = zone_order.index(self._own)
         first = self._zone_rank * FAN_OUT + 1
         self.children = tuple(zone_order[first : first + FAN_OUT])
-        heads = {find_head(zone, members) for zone, members in zones.items()}
+        heads = {find_zone_head(zone, members) for zone, members in zones.items()}
         order = hashing.rank(_FLEET, sorted({*heads, self._own}))
         self._head_rank = order.index(self._own)
 
@@ -231,12 +231,14 @@
         """Take how long a change took from its first byte to being in force."""
         self._reads[kind].observe(read_s)
 
-    def find_shares(self, kind: str) -> NewsShares:
+    def find_propagation_times(self, kind: str) -> PropagationTimes:
         """Return how long to wait for news of a kind."""
-        shares = share_news_time(self._news_max_s, self._reads[kind].longest_s)
-        return shares._replace(trust_s=min(self._trust_s, shares.trust_s))
+        shares = split_propagation_time(self._news_max_s, self._reads[kind].longest_s)
+        return shares._replace(
+            evidence_max_age_s=min(self._trust_s, shares.evidence_max_age_s)
+        )
 
-    def hear(self, bulletin: Bulletin, now_s: float) -> bool:
+    def observe_bulletin(self, bulletin: Bulletin, now_s: float) -> bool:
         """Take a bulletin; return whether it is news and not a late or double one."""
         mark = (bulletin.session, bulletin.sequence)
         if mark <= self._marks.get(bulletin.sender, (-1, -1)):
@@ -248,7 +250,7 @@
                 self._take(evidence._replace(origin=origin), now_s)
         return True
 
-    def forget_evidence(self) -> None:
+    def drop_evidence(self) -> None:
         """Drop all evidence, own and heard, as when its age is no longer known."""
         self._answered_s.clear()
         self._heard.clear()
@@ -276,23 +278,27 @@
 
     def find_wait_s(self, kind: str, now_s: float) -> float:
         """Return for how long the evidence of others is still enough; 0 to ask now."""
-        trust_s = self.find_shares(kind).trust_s
+        evidence_max_age_s = self.find_propagation_times(kind).evidence_max_age_s
         heard_s = self._find_heard_s(kind)
         if now_s < self._settled_s and kind not in self._watched_at_once:
             answered_s = self._answered_s.get(kind, -math.inf)
-            own_until_s = answered_s + OWN_TRUST_SHARE * trust_s
-            return max(0.0, max(heard_s + trust_s, own_until_s) - now_s)
+            own_until_s = answered_s + OWN_EVIDENCE_SHARE * evidence_max_age_s
+            return max(0.0, max(heard_s + evidence_max_age_s, own_until_s) - now_s)
         if self.is_watcher:
             refused_s = self._refused_s.get(kind, -math.inf)
-            if now_s >= refused_s + REFUSED_REST_S:
+            if now_s >= refused_s + REFUSED_BACKOFF_S:
                 heard_s = self._heard_before_s.get(kind, -math.inf)
-            return max(0.0, heard_s + trust_s - now_s)
+            return max(0.0, heard_s + evidence_max_age_s - now_s)
         if self.is_head:
-            trust_s = max(trust_s - HEAD_LEAD_S, trust_s / 2)
+            evidence_max_age_s = max(
+                evidence_max_age_s - HEAD_LEAD_S, evidence_max_age_s / 2
+            )
             stagger_s = STAGGER_S * max(0, self._head_rank - 1)
         else:
             stagger_s = STAGGER_S * (self._zone_rank - 1)
-        return max(0.0, heard_s + trust_s + min(STAGGER_MAX_S, stagger_s) - now_s)
+        return max(
+            0.0, heard_s + evidence_max_age_s + min(STAGGER_MAX_S, stagger_s) - now_s
+        )
 
     def find_retry_s(self, usual_s: float, retry_max_s: float) -> float:
         """Return the pause after a call that the store didn't answer.
@@ -310,7 +316,7 @@
         """
         if self.is_watcher or self.is_head:
             return min(self._news_max_s, usual_s * (1 + self._head_rank))
-        return max(retry_max_s, min(self._news_max_s, RETRY_SELDOM_S))
+        return max(retry_max_s, min(self._news_max_s, FOLLOWER_RETRY_S))
 
     def must_ask_peers(self, kind: str, now_s: float) -> bool:
         """Return whether to ask other routers to be told of the store."""
@@ -318,8 +324,8 @@
             # Nobody is to tell the watcher; who has just started may not be it.
             return False
         # By then the next answer should have been told of, and there is time left.
-        shares = self.find_shares(kind)
-        due_s = (shares.watch_s + shares.trust_s) / 2
+        shares = self.find_propagation_times(kind)
+        due_s = (shares.watch_s + shares.evidence_max_age_s) / 2
         return now_s > self._find_heard_s(kind) + due_s
 
     def find_ages_s(self, kinds: Iterable[str], now_s: float) -> dict[str, float]:
@@ -344,7 +350,7 @@
                 found.append(Evidence(age_s, digest))
         return tuple(found)
 
-    def make_relayed(
+    def make_relayed_evidence(
         self, digests: Iterable[ConfigurationDigest], now_s: float
     ) -> tuple[Evidence, ...]:
         """Return the evidence to pass on: of others where it is newer than one's own.
@@ -380,6 +386,6 @@
         return Evidence(age_s, digest, heard.evidence.origin, hops)
 
 
-def find_head(zone: str, names: Iterable[str]) -> str:
+def find_zone_head(zone: str, names: Iterable[str]) -> str:
     """Return the router that tells the others of a zone."""
     return hashing.rank(zone, sorted(names))[0]
--- a/src/tamarackrill/protocol/codec.py
+++ b/src/tamarackrill/protocol/codec.py
@@ -17,13 +17,13 @@
 from tamarackrill.decisions.loads import EndpointLoad
 from tamarackrill.decisions.members import (
     CrashCount,
-    Entries,
     Gossip,
     MemberRecord,
     MemberState,
+    PiggybackedEntries,
     Purpose,
 )
-from tamarackrill.decisions.views import BUCKETS
+from tamarackrill.decisions.views import BUCKET_COUNT
 from tamarackrill.protocol import structs
 
 # 128 bits cannot be guessed over a network, and leave 16 bytes more of the budget
@@ -127,7 +127,7 @@
     )
 
 
-def _write_entries(entries: Entries) -> dict[str, Any]:
+def _write_entries(entries: PiggybackedEntries) -> dict[str, Any]:
     loads = [structs.EndpointLoad(*item) for item in entries.loads]
     crashes = [
         structs.CrashCount(to_signed(item.fingerprint), item.crashes)
@@ -174,7 +174,7 @@
     )
 
 
-def _read_entries(struct: Any) -> Entries:
+def _read_entries(struct: Any) -> PiggybackedEntries:
     loads = [
         EndpointLoad(need_text(item.endpoint), item.in_flight + 0)
         for item in struct.loads or ()
@@ -183,11 +183,11 @@
         CrashCount(from_signed(item.fingerprint), item.crashes + 0)
         for item in struct.crashes or ()
     ]
-    return Entries(tuple(crashes), tuple(loads))
+    return PiggybackedEntries(tuple(crashes), tuple(loads))
 
 
 def _read_buckets(value: bytes | None) -> bytes:
-    if value and len(value) != BUCKETS:
+    if value and len(value) != BUCKET_COUNT:
         raise ValueError("not the number of buckets")
     return value or b""
 
--- a/src/tamarackrill/router/app.py
+++ b/src/tamarackrill/router/app.py
@@ -14,7 +14,7 @@
 from tamarackrill.contracts import Contract, Endpoint
 from tamarackrill.decisions.claims import Claims
 from tamarackrill.decisions.configuration import (
-    Changes,
+    ChangeSet,
     ConfigurationStore,
     ObjectVersion,
 )
@@ -377,7 +377,7 @@
             self.settings.peers,
         )
 
-    def _pull(self, address: str, kind: str, since: int) -> Awaitable[Changes]:
+    def _pull(self, address: str, kind: str, since: int) -> Awaitable[ChangeSet]:
         keys = self.settings.peer_keys
         return pull_changes(self._router_client, address, kind, since, keys)
 
@@ -421,8 +421,8 @@
         while True:
             try:
                 vms = await self.platform.list_vms()
-                self.gossiper.take_vm_list(vms)
-                self.known.take_vm_list(vms)
+                self.gossiper.update_vm_list(vms)
+                self.known.update_vm_list(vms)
             except PlatformUnavailable:
                 pass
             await asyncio.sleep(VM_LIST_WAIT_S)
--- a/src/tamarackrill/router/configuring.py
+++ b/src/tamarackrill/router/configuring.py
@@ -9,15 +9,15 @@
 from tamarackrill.contracts import CONTRACT_KIND, ENDPOINT_KIND
 from tamarackrill.decisions.answer_times import AnswerTimes, StoreAnswer
 from tamarackrill.decisions.configuration import (
-    Changes,
+    ChangeSet,
     ConfigurationDigest,
     ConfigurationStore,
     ObjectVersion,
     needs_changes,
 )
-from tamarackrill.decisions.members import Entries
-from tamarackrill.decisions.membership import PeerHeard
-from tamarackrill.decisions.reading import Reading
+from tamarackrill.decisions.members import PiggybackedEntries
+from tamarackrill.decisions.membership import PeerStateReceived
+from tamarackrill.decisions.reading import ReadPlanner
 from tamarackrill.events import (
     CONFIGURATION_PULL_FAILED,
     CONFIGURATION_TAKEN,
@@ -51,7 +51,7 @@
 # may be frozen, or its link full.
 HAND_ON_MAX_S = 0.3
 
-PullChanges = Callable[[str, str, int], Awaitable[Changes]]
+PullChanges = Callable[[str, str, int], Awaitable[ChangeSet]]
 
 
 class Configurer:
@@ -66,7 +66,7 @@
     on_taken : callable
         Called with the list of objects that are newly in force.
     pull : callable
-        ``await pull(address, kind, since)`` returns a peer's `Changes`.
+        ``await pull(address, kind, since)`` returns a peer's `ChangeSet`.
     clock : callable
         Returns the present time.
     kinds : tuple of str, optional
@@ -134,9 +134,9 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._pulls: dict[str, asyncio.Task[None]] = {}
         # Who told last of what this router lacks.
-        self._tellers: dict[str, PeerHeard] = {}
+        self._tellers: dict[str, PeerStateReceived] = {}
         self._behind_since_s: dict[str, float] = {}
-        self._readings = {kind: Reading() for kind in read_directly}
+        self._readings = {kind: ReadPlanner() for kind in read_directly}
         # When the first byte came of the answers that are being read.
         self._begun_s: dict[str, float] = {}
         # Kinds that the platform has been asked for.
@@ -164,7 +164,7 @@
         """Return the digests of all kinds."""
         return tuple(self._store.digest(kind) for kind in self._kinds)
 
-    def hear_peer(self, heard: PeerHeard) -> None:
+    def hear_peer(self, heard: PeerStateReceived) -> None:
         """Ask a peer for what it holds and this router doesn't, if that lasts."""
         for digest in heard.configuration:
             if digest.kind not in self._kinds:
@@ -202,11 +202,11 @@
         if as_of_s > self._lost_s:
             self._report(lost=False)
         if not needs_changes(self._store.digest(digest.kind), digest):
-            self._store.adopt_complete(digest)
+            self._store.adopt_complete_revision(digest)
             return
         if digest.kind in self._readings:
             self._note_news(digest)
-        heard = PeerHeard(sender, address, (digest,), Entries())
+        heard = PeerStateReceived(sender, address, (digest,), PiggybackedEntries())
         self._start_pull(heard, digest.kind)
 
     def has_news(self, kind: str) -> bool:
@@ -215,9 +215,9 @@
         return reading is not None and reading.has_news(self._store.digest(kind))
 
     def _note_news(self, digest: ConfigurationDigest) -> None:
-        self._readings[digest.kind].hear(digest)
+        self._readings[digest.kind].observe_peer(digest)
 
-    def _start_pull(self, heard: PeerHeard, kind: str) -> None:
+    def _start_pull(self, heard: PeerStateReceived, kind: str) -> None:
         self._tellers[kind] = heard
         # An answer of the store that has begun is on its way.  The same from a peer
         # would share the link with it, and both would come later; of a manifest that
@@ -227,7 +227,7 @@
         task = asyncio.create_task(self._pull_when_due(heard, kind))
         self._pulls[kind] = task
 
-    async def _pull_when_due(self, heard: PeerHeard, kind: str) -> None:
+    async def _pull_when_due(self, heard: PeerStateReceived, kind: str) -> None:
         try:
             if self._is_first_answer_due(kind):
                 await asyncio.sleep(HEAD_START_S)
@@ -237,7 +237,7 @@
         finally:
             del self._pulls[kind]
 
-    async def _pull_in_time(self, heard: PeerHeard, kind: str) -> None:
+    async def _pull_in_time(self, heard: PeerStateReceived, kind: str) -> None:
         pulling = asyncio.ensure_future(self._pull_from(heard, kind))
         try:
             await asyncio.wait([pulling], timeout=HAND_ON_MAX_S)
@@ -258,7 +258,7 @@
         # seconds.
         return kind in self._asking and self._store.get_complete(kind) == 0
 
-    async def _pull_from(self, heard: PeerHeard, kind: str) -> None:
+    async def _pull_from(self, heard: PeerStateReceived, kind: str) -> None:
         since = self._store.get_complete(kind)
         try:
             changes = await self._pull(heard.address, kind, since)
@@ -385,9 +385,9 @@
         elif reading is not None:
             reading.observe_watch(item.name for item in listing.items)
 
-    def _take(self, changes: Changes, source: str) -> list[ObjectVersion]:
+    def _take(self, changes: ChangeSet, source: str) -> list[ObjectVersion]:
         self._behind_since_s.pop(changes.kind, None)
-        taken = self._store.take_changes(changes)
+        taken = self._store.apply_changes(changes)
         for item in taken:
             log_event(
                 CONFIGURATION_TAKEN,
@@ -411,6 +411,6 @@
         self.on_store(lost)
 
 
-def _to_changes(kind: str, listing: Listing, whole: bool) -> Changes:
+def _to_changes(kind: str, listing: Listing, whole: bool) -> ChangeSet:
     objects = tuple(ObjectVersion(*item) for item in listing.items)
-    return Changes(kind, objects, listing.revision, whole)
+    return ChangeSet(kind, objects, listing.revision, whole)
--- a/src/tamarackrill/router/deployment_view.py
+++ b/src/tamarackrill/router/deployment_view.py
@@ -5,7 +5,7 @@
 
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.configuration import ObjectVersion
-from tamarackrill.decisions.lapses import Lapses
+from tamarackrill.decisions.lapses import ExpiryGrace
 from tamarackrill.decisions.manifests import Manifest, RouteTable
 from tamarackrill.decisions.pools import EndpointPool, make_pool
 from tamarackrill.events import (
@@ -52,7 +52,7 @@
         # None once an endpoint has changed.  Made anew when they are asked for, as a
         # list of thousands of endpoints changes each of them once.
         self._pools: dict[str, _Pools] | None = None
-        self._lapses = Lapses()
+        self._lapses = ExpiryGrace()
         self.routes: RouteTable | None = None
         self.endpoints_heard = False
 
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -13,19 +13,19 @@
 from tornado.web import Application
 
 from tamarackrill.decisions.configuration import (
-    Changes,
+    ChangeSet,
     ConfigurationStore,
     ObjectVersion,
 )
 from tamarackrill.decisions.endpoint_news import EndpointNews, hash_teller
 from tamarackrill.decisions.handing_on import HandOnBudget
-from tamarackrill.decisions.members import Entries, MemberRecord, MemberState
-from tamarackrill.decisions.membership import PeerHeard
-from tamarackrill.decisions.news_shares import TRUST_MAX_SHARE, WATCH_MAX_SHARE
+from tamarackrill.decisions.members import MemberRecord, MemberState, PiggybackedEntries
+from tamarackrill.decisions.membership import PeerStateReceived
+from tamarackrill.decisions.news_shares import EVIDENCE_AGE_MAX_SHARE, WATCH_MAX_SHARE
 from tamarackrill.decisions.placement_news import PlacementNews
 from tamarackrill.decisions.poison import CrashCount
 from tamarackrill.decisions.retry_shares import FleetSize
-from tamarackrill.decisions.watching import SETTLE_S, Watching
+from tamarackrill.decisions.watching import SETTLE_S, WatchPolicy
 from tamarackrill.events import (
     ROUTER_LATE,
     ROUTER_LEAVING,
@@ -258,15 +258,15 @@
         self._servers.append(server)
 
     def _make_configurer(self) -> None:
-        news_max_s = self.settings.news_max_s
+        propagation_max_s = self.settings.propagation_max_s
         platform = PlatformClient(
             self.settings.store_address,
             self.settings.zone,
             self._store_client,
             STORE_FORM,
             StoreTiming(
-                call_s=min(STORE_CALL_MAX_S, STORE_CALL_SHARE * news_max_s),
-                watch_wait_s=WATCH_MAX_SHARE * news_max_s,
+                call_s=min(STORE_CALL_MAX_S, STORE_CALL_SHARE * propagation_max_s),
+                watch_wait_s=WATCH_MAX_SHARE * propagation_max_s,
             ),
         )
         self.configurer = Configurer(
@@ -288,7 +288,7 @@
         if self.configurer.has_news(MANIFEST_KIND):
             return True
         ages_s = self.store_news.find_ages_s(self.clock())
-        return ages_s.get(MANIFEST_KIND, math.inf) > self.settings.news_max_s
+        return ages_s.get(MANIFEST_KIND, math.inf) > self.settings.propagation_max_s
 
     def _note_store_call(self, call: StoreCall) -> None:
         self.metrics.record_store_call(
@@ -304,7 +304,7 @@
             size_bytes=call.size_bytes,
         )
 
-    def _pull(self, address: str, kind: str, since: int) -> Awaitable[Changes]:
+    def _pull(self, address: str, kind: str, since: int) -> Awaitable[ChangeSet]:
         return pull_changes(self._router_client, address, kind, since, self._peer_keys)
 
     def _make_placement_teller(self) -> None:
@@ -353,12 +353,12 @@
         own_address = self.members.own.peer_address
         seeds = tuple(s for s in self.settings.seeds if s != own_address)
         self.store_news = StoreNews(
-            Watching(
+            WatchPolicy(
                 self.settings.name,
                 self.settings.zone,
-                TRUST_MAX_SHARE * self.settings.news_max_s,
+                EVIDENCE_AGE_MAX_SHARE * self.settings.propagation_max_s,
                 self.clock() + SETTLE_S,
-                self.settings.news_max_s,
+                self.settings.propagation_max_s,
                 (MANIFEST_KIND,),
             ),
             self.members,
@@ -397,10 +397,10 @@
         await self.gossiper.start()
         await self.placement_teller.start()
 
-    def _collect_entries(self) -> Entries:
-        return Entries(tuple(self.placer.poison.digest(self.clock())))
+    def _collect_entries(self) -> PiggybackedEntries:
+        return PiggybackedEntries(tuple(self.placer.poison.digest(self.clock())))
 
-    def _hear_peer(self, heard: PeerHeard) -> None:
+    def _hear_peer(self, heard: PeerStateReceived) -> None:
         now_s = self.clock()
         for count in heard.entries.crashes:
             self.placer.poison.observe_peer(heard.sender, *count, now_s)
@@ -411,7 +411,7 @@
         crashes = len(self.placer.poison.find_crashed(fingerprint, self.clock()))
         for member in self.members.list_live():
             if member.name != self.members.own.name:
-                entries = Entries((CrashCount(fingerprint, crashes),))
+                entries = PiggybackedEntries((CrashCount(fingerprint, crashes),))
                 self.gossiper.report(member.name, entries)
 
     async def _keep_house(self) -> None:
--- a/src/tamarackrill/router/gossip.py
+++ b/src/tamarackrill/router/gossip.py
@@ -8,16 +8,16 @@
 
 from tamarackrill.contracts import Vm
 from tamarackrill.decisions.configuration import ConfigurationDigest
-from tamarackrill.decisions.members import Entries, MemberRecord, MemberState
+from tamarackrill.decisions.members import MemberRecord, MemberState, PiggybackedEntries
 from tamarackrill.decisions.membership import (
     TICK_S,
     Action,
-    Froze,
     MemberChanged,
     Membership,
-    PeerHeard,
+    PeerStateReceived,
+    ProcessFroze,
     Send,
-    StaleDropped,
+    StaleMessageDropped,
 )
 from tamarackrill.events import (
     MEMBER_CHANGED,
@@ -70,16 +70,16 @@
         self._digest_configuration = digest_configuration
         self._clock = clock
         self._random = random.SystemRandom()
-        self._on_heard: list[Callable[[PeerHeard], None]] = []
-        self._collect: list[Callable[[], Entries]] = []
+        self._on_heard: list[Callable[[PeerStateReceived], None]] = []
+        self._collect: list[Callable[[], PiggybackedEntries]] = []
         self._dropped: dict[str, tuple[int, str]] = {}
         self._ticking: asyncio.Task[None] | None = None
 
-    def subscribe(self, on_heard: Callable[[PeerHeard], None]) -> None:
+    def subscribe(self, on_heard: Callable[[PeerStateReceived], None]) -> None:
         """Call `on_heard` for each message of a peer."""
         self._on_heard.append(on_heard)
 
-    def add_source(self, collect: Callable[[], Entries]) -> None:
+    def add_source(self, collect: Callable[[], PiggybackedEntries]) -> None:
         """Send what `collect` returns, asked for each tick, along with messages."""
         self._collect.append(collect)
 
@@ -98,14 +98,14 @@
         """Tell the others to send this router no new work."""
         self._announce(MemberState.LEAVING)
 
-    def take_vm_list(self, vms: tuple[Vm, ...]) -> None:
+    def update_vm_list(self, vms: tuple[Vm, ...]) -> None:
         """Take the platform's VM list."""
-        self._membership.take_vm_list(vms)
+        self._membership.update_vm_list(vms)
         self._publish()
 
-    def report(self, name: str, entries: Entries) -> None:
+    def report(self, name: str, entries: PiggybackedEntries) -> None:
         """Send entries to one router now, as far as the byte budget allows."""
-        self._act(self._membership.report(name, entries))
+        self._act(self._membership.push_entries(name, entries))
 
     def describe(self) -> dict[str, Any]:
         """Return the counts and the hash of the view, for queries."""
@@ -140,7 +140,7 @@
     def _refresh(self) -> None:
         self._membership.configuration = self._digest_configuration()
         collected = [collect() for collect in self._collect]
-        self._membership.entries = Entries(
+        self._membership.entries = PiggybackedEntries(
             tuple(crash for entries in collected for crash in entries.crashes),
             tuple(load for entries in collected for load in entries.loads),
         )
@@ -154,12 +154,12 @@
                 self._send(action)
             elif isinstance(action, MemberChanged):
                 self._log_change(action)
-            elif isinstance(action, PeerHeard):
+            elif isinstance(action, PeerStateReceived):
                 for on_heard in self._on_heard:
                     on_heard(action)
-            elif isinstance(action, StaleDropped):
+            elif isinstance(action, StaleMessageDropped):
                 self._drop("stale", action.sender)
-            elif isinstance(action, Froze):
+            elif isinstance(action, ProcessFroze):
                 log_event(ROUTER_FROZE, gap_s=action.gap_s)
         if any(isinstance(action, MemberChanged) for action in actions):
             self._publish()
--- a/src/tamarackrill/router/known_objects.py
+++ b/src/tamarackrill/router/known_objects.py
@@ -13,7 +13,7 @@
     read_endpoint,
 )
 from tamarackrill.decisions.configuration import ObjectVersion
-from tamarackrill.decisions.leaving import Leaving, LeavingNews
+from tamarackrill.decisions.leaving import LeavingEndpoints, LeavingReport
 from tamarackrill.events import ENDPOINT_LEAVING, OBJECT_FAULTY, log_event
 from tamarackrill.exceptions import FindingsError
 
@@ -42,7 +42,7 @@
         self._contracts: dict[str, Contract] = {}
         self._endpoints: dict[str, Endpoint] = {}
         self._faulty: dict[tuple[str, str], FaultyObject] = {}
-        self._leaving = Leaving()
+        self._leaving = LeavingEndpoints()
         # Endpoints as `list_endpoints` returns them; None once one has changed.
         self._listed: list[Endpoint] | None = None
         # Contract of each key's hash; None once a contract has changed.
@@ -111,7 +111,7 @@
             ]
         return self._listed
 
-    def take_vm_list(self, vms: Iterable[Vm]) -> None:
+    def update_vm_list(self, vms: Iterable[Vm]) -> None:
         """Take the platform's list, which may call the VM of an endpoint leaving.
 
         An endpoint whose VM is not listed is left as it is: the list lags, and the
@@ -121,14 +121,14 @@
         for endpoint in self._endpoints.values():
             state = states.get(endpoint.vm or endpoint.name)
             if state is not None:
-                news = LeavingNews(endpoint.name, "vm_list", state == "leaving")
+                news = LeavingReport(endpoint.name, "vm_list", state == "leaving")
                 self._observe(news)
 
     def _note_object(self, endpoint: Endpoint) -> None:
         is_leaving = endpoint.state == "leaving"
-        self._observe(LeavingNews(endpoint.name, "object", is_leaving))
+        self._observe(LeavingReport(endpoint.name, "object", is_leaving))
 
-    def _observe(self, news: LeavingNews) -> None:
+    def _observe(self, news: LeavingReport) -> None:
         if self._leaving.observe(news):
             self._listed = None
             log_event(ENDPOINT_LEAVING, **news._asdict())
--- a/src/tamarackrill/router/peer_api.py
+++ b/src/tamarackrill/router/peer_api.py
@@ -20,7 +20,7 @@
 from tornado.web import HTTPError, RequestHandler
 
 from tamarackrill.decisions.configuration import (
-    Changes,
+    ChangeSet,
     ConfigurationStore,
     ObjectVersion,
 )
@@ -178,7 +178,7 @@
     kind: str,
     since: int,
     peer_keys: tuple[str, ...],
-) -> Changes:
+) -> ChangeSet:
     """Ask a peer for changes.
 
     Parameters
@@ -247,11 +247,11 @@
     return response.body
 
 
-def _read_changes(text: bytes) -> Changes:
+def _read_changes(text: bytes) -> ChangeSet:
     # A peer of another release may prove an answer of another form.
     try:
         kind, objects, complete, whole = json.loads(zlib.decompress(text))
         items = tuple(ObjectVersion(*item) for item in objects)
     except (TypeError, ValueError, zlib.error) as error:
         raise PeerUnavailable("the answer holds no changes") from error
-    return Changes(kind, items, complete, whole)
+    return ChangeSet(kind, items, complete, whole)
--- a/src/tamarackrill/router/peer_news.py
+++ b/src/tamarackrill/router/peer_news.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from tamarackrill.decisions.members import Entries
-from tamarackrill.decisions.membership import PeerHeard
+from tamarackrill.decisions.members import PiggybackedEntries
+from tamarackrill.decisions.membership import PeerStateReceived
 from tamarackrill.decisions.poison import CrashCount
 from tamarackrill.router.members import Members
 from tamarackrill.router.owners import Owners
@@ -32,7 +32,7 @@
         placer: Placer,
         owners: Owners,
         members: Members,
-        report: Callable[[str, Entries], None],
+        report: Callable[[str, PiggybackedEntries], None],
         clock: Callable[[], float],
     ) -> None:
         self._placer = placer
@@ -41,12 +41,12 @@
         self._report = report
         self._clock = clock
 
-    def collect(self) -> Entries:
+    def collect(self) -> PiggybackedEntries:
         """Return what goes along with each message of the gossip."""
         crashes = self._placer.poison.digest(self._clock())
-        return Entries(tuple(crashes), tuple(self._owners.digest()))
+        return PiggybackedEntries(tuple(crashes), tuple(self._owners.digest()))
 
-    def hear(self, heard: PeerHeard) -> None:
+    def hear(self, heard: PeerStateReceived) -> None:
         """Take what a peer told."""
         now_s = self._clock()
         for count in heard.entries.crashes:
@@ -62,4 +62,4 @@
         """
         for member in self._members.list_live():
             if member.name != self._members.own.name:
-                self._report(member.name, Entries((count,)))
+                self._report(member.name, PiggybackedEntries((count,)))
--- a/src/tamarackrill/router/store_news.py
+++ b/src/tamarackrill/router/store_news.py
@@ -5,12 +5,12 @@
 from collections import defaultdict
 from collections.abc import Callable, Iterable
 
-from tamarackrill.decisions.transit import TransitTimes
+from tamarackrill.decisions.transit import TransitBounds
 from tamarackrill.decisions.watching import (
     Bulletin,
     Evidence,
-    Watching,
-    find_head,
+    WatchPolicy,
+    find_zone_head,
 )
 from tamarackrill.events import EVIDENCE_DROPPED, WATCH_ROLE_CHANGED, log_event
 from tamarackrill.protocol.bulletin_codec import decode_bulletin, encode_bulletin
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        watching: Watching,
+        watching: WatchPolicy,
         members: Members,
         configurer: Configurer,
         send: Callable[[str, bytes], None],
@@ -80,7 +80,7 @@
         self._pick = pick
         self._find_suspended_s = find_suspended_s
         self._suspended_s = find_suspended_s()
-        self._transit = TransitTimes()
+        self._transit = TransitBounds()
         self._started_s = clock()
         self._sequence = 0
         self._role = ""
@@ -99,7 +99,9 @@
         configurer.find_retry_s = lambda before_s: watching.find_retry_s(
             find_usual_s(before_s), find_usual_s(math.inf)
         )
-        configurer.find_watch_s = lambda kind: watching.find_shares(kind).watch_s
+        configurer.find_watch_s = lambda kind: (
+            watching.find_propagation_times(kind).watch_s
+        )
 
     def find_ages_s(self, now_s: float) -> dict[str, float]:
         """Return how old the newest evidence of the store is, by kind of objects."""
@@ -118,7 +120,7 @@
         others = {z: list(names) for z, names in zones.items() if z != own_zone}
         self._watching.set_members(zones[own_zone], others)
         self._heads = [
-            names[find_head(zone, list(names))] for zone, names in zones.items()
+            names[find_zone_head(zone, list(names))] for zone, names in zones.items()
         ]
         role = _name_role(self._watching)
         if role != self._role:
@@ -148,7 +150,7 @@
     def _tell(self, is_repeated: bool) -> None:
         now_s = self._clock()
         digests = self._configurer.digest()
-        known = self._watching.make_relayed(digests, now_s)
+        known = self._watching.make_relayed_evidence(digests, now_s)
         if self._has_changed(known):
             self._repeats_left = REPEATS
         elif is_repeated and self._repeats_left:
@@ -264,7 +266,7 @@
         believed = () if transit_s is None else bulletin.evidence
         aged = tuple(e._replace(age_s=e.age_s + (transit_s or 0.0)) for e in believed)
         is_wanted = self._is_wanted(bulletin, now_s)
-        if not self._watching.hear(bulletin._replace(evidence=aged), now_s):
+        if not self._watching.observe_bulletin(bulletin._replace(evidence=aged), now_s):
             return True
         if is_wanted and bulletin.sent_s is not None:
             self._ask_time(bulletin, transit_s, source, now_s)
@@ -304,12 +306,12 @@
         self, bulletin: Bulletin, transit_s: float | None, source: str, now_s: float
     ) -> None:
         sender, session = bulletin.sender, bulletin.session
-        if self._transit.must_ask(sender, session, transit_s, now_s):
-            self._transit.observe_question(sender, session, now_s)
+        if self._transit.must_request_clock(sender, session, transit_s, now_s):
+            self._transit.observe_request(sender, session, now_s)
             self._send(source, self._encode((), now_s, asks_time=True))
 
     def _answer(self, address: str, asked_s: float | None, now_s: float) -> None:
-        known = self._watching.make_relayed(self._configurer.digest(), now_s)
+        known = self._watching.make_relayed_evidence(self._configurer.digest(), now_s)
         self._send(address, self._encode(known, now_s, asked_s=asked_s))
 
     def _note_suspension(self) -> None:
@@ -318,7 +320,7 @@
             return
         self._suspended_s += suspended_s
         # All ages are short by that time.
-        self._watching.forget_evidence()
+        self._watching.drop_evidence()
         self._transit.forget()
         log_event(EVIDENCE_DROPPED, suspended_s=round(suspended_s, 3))
 
@@ -327,7 +329,7 @@
     return any(not evidence.hops for evidence in known)
 
 
-def _name_role(watching: Watching) -> str:
+def _name_role(watching: WatchPolicy) -> str:
     if watching.is_watcher:
         return "watcher"
     return "head" if watching.is_head else "member"
--- a/src/tamarackrill/testing/gossip.py
+++ b/src/tamarackrill/testing/gossip.py
@@ -17,7 +17,7 @@
     Action,
     MemberChanged,
     Membership,
-    PeerHeard,
+    PeerStateReceived,
     Send,
 )
 
@@ -61,7 +61,7 @@
         self.frozen: set[str] = set()
         self.cut_zones: set[str] = set()
         self.changes: list[Change] = []
-        self.heard: list[tuple[str, PeerHeard]] = []
+        self.heard: list[tuple[str, PeerStateReceived]] = []
         self.sent_bytes: dict[str, int] = {}
         self._random = Random(seed)
         self._loss = loss
@@ -89,7 +89,7 @@
             for name, state in self.states.items()
         ]
         for state in self.states.values():
-            state.take_vm_list(vms)
+            state.update_vm_list(vms)
 
     def freeze(self, name: str) -> None:
         """Stop a router from running; what it is sent is held for it."""
@@ -168,10 +168,10 @@
         for action in actions:
             if isinstance(action, MemberChanged):
                 self.changes.append(Change(time_s, name, action.record))
-            elif isinstance(action, PeerHeard):
+            elif isinstance(action, PeerStateReceived):
                 self.heard.append((name, action))
             elif isinstance(action, Send):
-                self.sent_bytes[name] += action.weight_bytes
+                self.sent_bytes[name] += action.estimated_bytes
                 if self._passes(name, action.peer_address):
                     carried = self._carry(action.message)
                     self._queue.append((action.peer_address, carried))
--- a/src/tamarackrill/testing/store_fleet.py
+++ b/src/tamarackrill/testing/store_fleet.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from tamarackrill.decisions.configuration import ConfigurationDigest
-from tamarackrill.decisions.news_shares import TRUST_MAX_SHARE
-from tamarackrill.decisions.watching import SETTLE_S, Watching
+from tamarackrill.decisions.news_shares import EVIDENCE_AGE_MAX_SHARE
+from tamarackrill.decisions.watching import SETTLE_S, WatchPolicy
 from tamarackrill.router.members import Member, Members
 from tamarackrill.router.store_news import StoreNews
 
@@ -99,12 +99,12 @@
             RETRY_MAX_S, max(RETRY_MIN_S, 2 * before_s)
         )
         settle_s = 0.0 if knows_all else SETTLE_S
-        self.watching = Watching(
+        self.watching = WatchPolicy(
             name,
             zone,
-            TRUST_MAX_SHARE * fleet.news_max_s,
+            EVIDENCE_AGE_MAX_SHARE * fleet.propagation_max_s,
             self.clock() + settle_s,
-            fleet.news_max_s,
+            fleet.propagation_max_s,
             (KIND,),
         )
         self._members = Members(Member(name, name, zone, peer_address=name))
@@ -212,7 +212,7 @@
         Routers.
     store : PlayedStore
         What they ask.
-    news_max_s : float
+    propagation_max_s : float
         Time in which a change has to be in force.
     zones : int, optional
         Availability zones.
@@ -241,7 +241,7 @@
         self,
         count: int,
         store: PlayedStore,
-        news_max_s: float,
+        propagation_max_s: float,
         zones: int = 6,
         knows_all: bool = True,
         loss: float = 0.0,
@@ -249,7 +249,7 @@
     ) -> None:
         self.now_s = 0.0
         self.store = store
-        self.news_max_s = news_max_s
+        self.propagation_max_s = propagation_max_s
         self.names = [f"router-{number:03d}" for number in range(count)]
         self.contacts = self.names[:CONTACTS]
         self.routers: dict[str, PlayedRouter] = {}
@@ -281,7 +281,7 @@
         for name in self.routers:
             self._learns_s[name] = self.now_s + REMOVED_S
 
-    def find(self, is_wanted: Callable[[Watching], bool]) -> list[str]:
+    def find(self, is_wanted: Callable[[WatchPolicy], bool]) -> list[str]:
         """Return the names of routers."""
         return [n for n, router in self.routers.items() if is_wanted(router.watching)]
 
@@ -352,7 +352,7 @@
         for name in names or self.routers:
             router = self.routers[name]
             for revision, acked_s in enumerate(self.store.acked_s, 2):
-                if acked_s + self.news_max_s > self.now_s:
+                if acked_s + self.propagation_max_s > self.now_s:
                     continue
                 held = [s for r, s in router.held_s.items() if r >= revision]
                 held_s = min(held, default=math.inf)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -5,7 +5,7 @@
 from tamarackrill.decisions import members
 from tamarackrill.decisions.configuration import ConfigurationDigest
 from tamarackrill.decisions.loads import EndpointLoad
-from tamarackrill.decisions.views import BUCKETS
+from tamarackrill.decisions.views import BUCKET_COUNT
 from tamarackrill.protocol.codec import (
     InvalidMessage,
     decode_gossip,
@@ -52,10 +52,10 @@
     view=hashes,
     known=small,
     after=texts,
-    buckets=st.sampled_from([b"", bytes(range(BUCKETS))]),
+    buckets=st.sampled_from([b"", bytes(range(BUCKET_COUNT))]),
     configuration=st.lists(digests, max_size=2).map(tuple),
     entries=build(
-        members.Entries,
+        members.PiggybackedEntries,
         crashes=st.lists(crashes, max_size=3).map(tuple),
         loads=st.lists(loads, max_size=3).map(tuple),
     ),
@@ -68,11 +68,11 @@
     assert decode_gossip(datagram, (NEW,)) == message
     chosen, entries_bytes = members.choose_entries(message.entries, 1 << 20)
     assert chosen == message.entries
-    estimate = members.weigh_base(
+    estimate = members.estimate_base_bytes(
         message.sender, message.after, message.buckets, len(message.configuration)
     )
     listed = message.members + message.page
-    estimate += sum(members.weigh_record(record) for record in listed)
+    estimate += sum(members.estimate_record_bytes(record) for record in listed)
     assert len(datagram) + UDP_AND_IP_BYTES <= estimate + entries_bytes
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 
 from tamarackrill.decisions import configuration
 from tamarackrill.decisions.configuration import (
-    Changes,
+    ChangeSet,
     ConfigurationStore,
     ObjectVersion,
     needs_changes,
@@ -32,10 +32,12 @@
     def list_at(self, revision):
         state = self.state_at(revision).values()
         objects = tuple(e for e in state if e.value is not None)
-        return Changes(KIND, objects, revision, whole=True)
+        return ChangeSet(KIND, objects, revision, is_snapshot=True)
 
     def watch(self, since, revision):
-        return Changes(KIND, tuple(self.events[since:revision]), revision, whole=False)
+        return ChangeSet(
+            KIND, tuple(self.events[since:revision]), revision, is_snapshot=False
+        )
 
     def first_deletion_after(self, name, version):
         later = self.events[version:]
@@ -81,24 +83,24 @@
     @rule(index=index, share=share)
     def list_from_platform(self, index, share):
         changes = self.history.list_at(self.revision(share))
-        self.stores[index].take_changes(changes)
+        self.stores[index].apply_changes(changes)
 
     @rule(index=index, share=share)
     def watch_platform(self, index, share):
         since = self.stores[index].get_complete(KIND)
         revision = max(since, self.revision(share))
-        self.stores[index].take_changes(self.history.watch(since, revision))
+        self.stores[index].apply_changes(self.history.watch(since, revision))
 
     @rule(index=index, share=share)
     def late_copy_arrives(self, index, share):
         for event in self.history.events[self.revision(share) :][:2]:
-            self.stores[index].take(*event)
+            self.stores[index].apply_version(*event)
 
     @rule(index=index)
     def pull_from_peer(self, index):
         own, peer = self.stores[index], self.stores[1 - index]
         if needs_changes(own.digest(KIND), peer.digest(KIND)):
-            own.take_changes(peer.changes_since(KIND, own.get_complete(KIND)))
+            own.apply_changes(peer.changes_since(KIND, own.get_complete(KIND)))
 
     @rule(index=index)
     def restart(self, index):
@@ -117,7 +119,7 @@
     def teardown(self):
         latest = self.history.list_at(len(self.history.events))
         for store in self.stores:
-            store.take_changes(latest)
+            store.apply_changes(latest)
             assert {i.name: i for i in store.items(KIND)} == {
                 i.name: i for i in latest.objects
             }
@@ -139,12 +141,12 @@
     history = History()
     for name, weight in [("a", 1), ("a", 2), ("a", None), ("b", 3), ("b", None)]:
         history.write(name, weight and {"weight": weight})
-    messages = [Changes(KIND, (e,), 0, whole=False) for e in history.events]
+    messages = [ChangeSet(KIND, (e,), 0, is_snapshot=False) for e in history.events]
     messages += [history.list_at(revision) for revision in (1, 3, 5)]
     for order in itertools.permutations(messages, 5):
         store, shown = ConfigurationStore(), {"a": 0, "b": 0}
         for message in order:
-            store.take_changes(message)
+            store.apply_changes(message)
             complete = history.state_at(store.get_complete(KIND))
             for name in shown:
                 least = complete[name].version if name in complete else 0
@@ -161,9 +163,9 @@
         history.write(name, {})
         history.write(name, None)
     store = ConfigurationStore()
-    store.take_changes(history.watch(0, 8))
+    store.apply_changes(history.watch(0, 8))
     assert len(store.changes_since(KIND, 7).objects) == 1
-    assert not store.take(*history.events[0])
+    assert not store.apply_version(*history.events[0])
     assert store.get(KIND, "a") is None
 
 
@@ -173,12 +175,12 @@
     history = History()
     history.write("a", {})
     away, store = ConfigurationStore(), ConfigurationStore()
-    away.take_changes(history.list_at(1))
+    away.apply_changes(history.list_at(1))
     for name, value in [("a", None), ("b", {}), ("b", None), ("c", {})]:
         history.write(name, value)
-    store.take_changes(history.watch(0, 5))
+    store.apply_changes(history.watch(0, 5))
     assert needs_changes(away.digest(KIND), store.digest(KIND))
-    away.take_changes(store.changes_since(KIND, away.get_complete(KIND)))
+    away.apply_changes(store.changes_since(KIND, away.get_complete(KIND)))
     assert away.digest(KIND) == store.digest(KIND)
     assert [item.name for item in away.items(KIND)] == ["c"]
 
@@ -189,8 +191,8 @@
     history = History()
     history.write("a", {})
     first, second = ConfigurationStore(), ConfigurationStore()
-    first.take_changes(history.list_at(1))
-    second.take_changes(history.list_at(1)._replace(complete=900))
+    first.apply_changes(history.list_at(1))
+    second.apply_changes(history.list_at(1)._replace(complete=900))
     assert not needs_changes(first.digest(KIND), second.digest(KIND))
 
 
@@ -203,13 +205,13 @@
         history.write("a", value)
     for heard_early in (False, True):
         store, peer = ConfigurationStore(), ConfigurationStore()
-        peer.take_changes(history.watch(0, 2))
+        peer.apply_changes(history.watch(0, 2))
         if heard_early:
-            store.take(*history.events[0])
-        store.take_changes(history.list_at(3))
-        peer.take_changes(store.changes_since(KIND, peer.get_complete(KIND)))
+            store.apply_version(*history.events[0])
+        store.apply_changes(history.list_at(3))
+        peer.apply_changes(store.changes_since(KIND, peer.get_complete(KIND)))
         assert peer.get(KIND, "a") is None
-        assert not store.take(*history.events[1])
+        assert not store.apply_version(*history.events[1])
 
 
 def test_router_that_holds_the_same_learns_that_nothing_is_missing():
@@ -218,16 +220,16 @@
     resting, asking = ConfigurationStore(), ConfigurationStore()
     item = ObjectVersion("contract", "a", 3, {"x": 1})
     for store in (resting, asking):
-        store.take_changes(Changes("contract", (item,), 3, True))
-    asking.take_changes(Changes("contract", (), 900, False))
-    resting.adopt_complete(asking.digest("contract"))
+        store.apply_changes(ChangeSet("contract", (item,), 3, True))
+    asking.apply_changes(ChangeSet("contract", (), 900, False))
+    resting.adopt_complete_revision(asking.digest("contract"))
     assert resting.get_complete("contract") == 900
 
 
 def test_router_that_lacks_something_keeps_its_revision():
     behind, ahead = ConfigurationStore(), ConfigurationStore()
-    ahead.take_changes(
-        Changes("contract", (ObjectVersion("contract", "a", 3, {"x": 1}),), 3, True)
+    ahead.apply_changes(
+        ChangeSet("contract", (ObjectVersion("contract", "a", 3, {"x": 1}),), 3, True)
     )
-    behind.adopt_complete(ahead.digest("contract"))
+    behind.adopt_complete_revision(ahead.digest("contract"))
     assert behind.get_complete("contract") == 0
--- a/tests/test_configuring.py
+++ b/tests/test_configuring.py
@@ -6,13 +6,13 @@
 import pytest
 
 from tamarackrill.decisions.configuration import (
-    Changes,
+    ChangeSet,
     ConfigurationDigest,
     ConfigurationStore,
     ObjectVersion,
 )
-from tamarackrill.decisions.members import Entries
-from tamarackrill.decisions.membership import PeerHeard
+from tamarackrill.decisions.members import PiggybackedEntries
+from tamarackrill.decisions.membership import PeerStateReceived
 from tamarackrill.exceptions import PlatformUnavailable
 from tamarackrill.router.configuring import Configurer
 from tamarackrill.store_form import Listing, PlatformObject
@@ -55,7 +55,7 @@
 
 def make_digest(version):
     held = ConfigurationStore()
-    held.take(KIND, "main", version, {"v": version})
+    held.apply_version(KIND, "main", version, {"v": version})
     return held.digest(KIND)._replace(complete=version)
 
 
@@ -88,13 +88,13 @@
         version = self.peer_version
         await self.may_send.wait()
         if version <= since:
-            return Changes(kind, (), since, False)
+            return ChangeSet(kind, (), since, False)
         item = ObjectVersion(kind, "main", version, {"v": version})
-        return Changes(kind, (item,), version, False)
+        return ChangeSet(kind, (item,), version, False)
 
     def hear(self, version):
         digest = ConfigurationDigest(KIND, version, version, version + 1000)
-        heard = PeerHeard("peer", "peer:1", (digest,), Entries())
+        heard = PeerStateReceived("peer", "peer:1", (digest,), PiggybackedEntries())
         self.configurer.hear_peer(heard)
 
     def hear_news(self, version, as_of_s=math.inf):
--- a/tests/test_late_news.py
+++ b/tests/test_late_news.py
@@ -5,22 +5,22 @@
 from tamarackrill.decisions.watching import SETTLE_S
 from tamarackrill.testing.store_fleet import PlayedFleet, PlayedStore
 
-NEWS_MAX_S = 4.0
+PROPAGATION_MAX_S = 4.0
 ZONES = 3
 ROUTERS = 12 * ZONES
 LATE = 10
 
 
 def make_fleet(acked_s):
-    return PlayedFleet(ROUTERS, PlayedStore(acked_s), NEWS_MAX_S, ZONES)
+    return PlayedFleet(ROUTERS, PlayedStore(acked_s), PROPAGATION_MAX_S, ZONES)
 
 
 def check_in_force(fleet):
-    assert max(fleet.find_delays_s()) <= NEWS_MAX_S
+    assert max(fleet.find_delays_s()) <= PROPAGATION_MAX_S
 
 
 # Over one watch of the store, so that evidence is new, old, and in between.
-MOMENTS_S = [SETTLE_S + NEWS_MAX_S / 2 * part / 8 for part in range(8)]
+MOMENTS_S = [SETTLE_S + PROPAGATION_MAX_S / 2 * part / 8 for part in range(8)]
 
 
 def find_late(fleet):
@@ -100,6 +100,6 @@
 def test_delays_cost_no_calls_in_a_calm_minute(count):
     # Guards against routers that ask the store because they don't know how long what
     # they hear has taken.
-    fleet = PlayedFleet(count, PlayedStore(), NEWS_MAX_S)
+    fleet = PlayedFleet(count, PlayedStore(), PROPAGATION_MAX_S)
     fleet.run(65.0)
-    assert fleet.count_calls(5.0, 65.0) <= 60 / (NEWS_MAX_S / 2) + 1
+    assert fleet.count_calls(5.0, 65.0) <= 60 / (PROPAGATION_MAX_S / 2) + 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -4,17 +4,17 @@
 from tamarackrill.decisions import membership
 from tamarackrill.decisions.configuration import ConfigurationDigest
 from tamarackrill.decisions.loads import EndpointLoad
-from tamarackrill.decisions.members import Entries, MemberState, Purpose
+from tamarackrill.decisions.members import MemberState, PiggybackedEntries, Purpose
 from tamarackrill.decisions.membership import (
-    FREEZE_GAP_S,
+    FREEZE_THRESHOLD_S,
     SENT_BURST_BYTES,
     SENT_BYTES_PER_S,
-    SUSPICION_S,
-    Froze,
+    SUSPICION_TIMEOUT_S,
     MemberChanged,
     Membership,
+    ProcessFroze,
     Send,
-    StaleDropped,
+    StaleMessageDropped,
 )
 from tamarackrill.testing.gossip import GossipNetwork
 
@@ -52,7 +52,7 @@
     # The platform's list comes from an old copy and lacks most routers.  Were it
     # believed, their chats would all move at once and lose their caches.
     for state in network.states.values():
-        state.take_vm_list([Vm(ONE, ONE, "zone-2", peer_address=ONE)])
+        state.update_vm_list([Vm(ONE, ONE, "zone-2", peer_address=ONE)])
     assert network.agree()
     network.run(20)
     assert network.agree()
@@ -62,7 +62,7 @@
     # The platform has told that a VM will go, and its router doesn't know yet.  New
     # chats given to it would be cut off or moved within the minute.
     leaving = Vm(ONE, ONE, "zone-2", "leaving", ONE)
-    network.states["vm-0000"].take_vm_list([leaving])
+    network.states["vm-0000"].update_vm_list([leaving])
     assert ONE not in names_seen(network, "vm-0000")
 
 
@@ -114,9 +114,9 @@
     state = network.states[ONE]
     incarnation = state.own.incarnation
     state.tick(network.now_s, network.pick)
-    later_s = network.now_s + FREEZE_GAP_S + SUSPICION_S
+    later_s = network.now_s + FREEZE_THRESHOLD_S + SUSPICION_TIMEOUT_S
     actions = state.tick(later_s, network.pick)
-    assert [a for a in actions if isinstance(a, Froze)]
+    assert [a for a in actions if isinstance(a, ProcessFroze)]
     assert not [a for a in actions if isinstance(a, MemberChanged)]
     assert state.own.incarnation == incarnation + 1
 
@@ -152,7 +152,7 @@
     network.run_until(network.agree, TICKS_MAX)
     observer = network.states["vm-0000"]
     message = next(action.message for action in late if isinstance(action, Send))
-    assert observer.receive(message, network.now_s) == [StaleDropped(ONE)]
+    assert observer.receive(message, network.now_s) == [StaleMessageDropped(ONE)]
     held = next(r for r in observer.list_members() if r.name == ONE)
     assert held.incarnation == new.own.incarnation
 
@@ -166,7 +166,7 @@
         if isinstance(action, Send)
     )
     receiver.receive(message, network.now_s)
-    assert receiver.receive(message, network.now_s) == [StaleDropped(ONE)]
+    assert receiver.receive(message, network.now_s) == [StaleMessageDropped(ONE)]
 
 
 def test_entries_and_digests_reach_peers_within_the_budget(network):
@@ -176,7 +176,7 @@
     heard = []
     for state in network.states.values():
         state.configuration = (digest,)
-        state.entries = Entries(
+        state.entries = PiggybackedEntries(
             loads=tuple(EndpointLoad(f"engine-{i}", i) for i in range(300)),
         )
     before = dict(network.sent_bytes)
@@ -187,7 +187,9 @@
             if isinstance(action, Send) and action.message.purpose == Purpose.PING:
                 receiver = network.states[action.peer_address]
                 heard += receiver.receive(action.message, network.now_s)
-    news = [action for action in heard if isinstance(action, membership.PeerHeard)]
+    news = [
+        action for action in heard if isinstance(action, membership.PeerStateReceived)
+    ]
     assert len(news) >= ROUTERS
     assert all(n.configuration == (digest,) and n.entries.loads for n in news)
     sent = [network.sent_bytes[name] - before[name] for name in before]
@@ -209,7 +211,9 @@
     )
     both = suspected.keys() & removed.keys()
     assert both
-    assert all(removed[name] - suspected[name] < SUSPICION_S / 2 for name in both)
+    assert all(
+        removed[name] - suspected[name] < SUSPICION_TIMEOUT_S / 2 for name in both
+    )
 
 
 def start_with_contacts(count):
--- a/tests/test_news_in_time.py
+++ b/tests/test_news_in_time.py
@@ -10,12 +10,15 @@
 import pytest
 
 from tamarackrill.decisions.configuration import ConfigurationDigest
-from tamarackrill.decisions.news_shares import TRUST_MAX_SHARE, share_news_time
-from tamarackrill.decisions.reading import Reading
-from tamarackrill.decisions.watching import SETTLE_S, Bulletin, Watching
+from tamarackrill.decisions.news_shares import (
+    EVIDENCE_AGE_MAX_SHARE,
+    split_propagation_time,
+)
+from tamarackrill.decisions.reading import ReadPlanner
+from tamarackrill.decisions.watching import SETTLE_S, Bulletin, WatchPolicy
 
 KIND = "config"
-NEWS_MAX_S = 3.0
+PROPAGATION_MAX_S = 3.0
 STEP_S = 0.01
 TELL_EVERY_S = 0.25
 CALL_S = 0.02
@@ -46,16 +49,16 @@
         self.name = name
         self.started_s = now_s
         self.read_s = read_s
-        self.watching = Watching(
+        self.watching = WatchPolicy(
             name,
             "zone",
-            TRUST_MAX_SHARE * NEWS_MAX_S,
+            EVIDENCE_AGE_MAX_SHARE * PROPAGATION_MAX_S,
             settled_s,
-            NEWS_MAX_S,
+            PROPAGATION_MAX_S,
             (KIND,),
         )
         self.watching.set_members(ROUTERS)
-        self.reading = Reading()
+        self.reading = ReadPlanner()
         self.version = 0
         self.held_since_s = {}
         self.sequence = 0
@@ -80,7 +83,7 @@
         if not must_list and rest_s > 0.0:
             self.has_rested = True
             return
-        watch_s = self.watching.find_shares(KIND).watch_s
+        watch_s = self.watching.find_propagation_times(KIND).watch_s
         has_rested, self.has_rested = self.has_rested, False
         wait_s = 0.0 if must_list or has_rested else watch_s
         self.is_watching = not must_list
@@ -120,10 +123,10 @@
         return Bulletin(self.name, session, self.sequence, evidence)
 
     def hear(self, bulletin, now_s):
-        if not self.watching.hear(bulletin, now_s):
+        if not self.watching.observe_bulletin(bulletin, now_s):
             return
         for evidence in bulletin.evidence:
-            self.reading.hear(evidence.digest)
+            self.reading.observe_peer(evidence.digest)
 
     def find_delay_s(self, version, acked_s):
         """Return when a version or a later one was in force, from its acknowledgement.
@@ -163,8 +166,8 @@
 def check_in_time(routers, store, until_s):
     for router in routers.values():
         for version, acked_s in enumerate(store.acked_s, 1):
-            if acked_s + NEWS_MAX_S < until_s:
-                assert router.find_delay_s(version, acked_s) <= NEWS_MAX_S
+            if acked_s + PROPAGATION_MAX_S < until_s:
+                assert router.find_delay_s(version, acked_s) <= PROPAGATION_MAX_S
 
 
 def find_watcher():
@@ -209,17 +212,20 @@
     check_in_time(routers, store, 20.0)
 
 
-@pytest.mark.parametrize("news_max_s", [1.0, 2.0, 3.0, 12.0])
+@pytest.mark.parametrize("propagation_max_s", [1.0, 2.0, 3.0, 12.0])
 @pytest.mark.parametrize("read_s", [0.0, 0.02, 0.2, 0.5])
-def test_what_a_read_takes_is_left_when_trust_ends(news_max_s, read_s):
-    shares = share_news_time(news_max_s, read_s)
+def test_what_a_read_takes_is_left_when_trust_ends(propagation_max_s, read_s):
+    shares = split_propagation_time(propagation_max_s, read_s)
     assert shares.watch_s > 0.0
-    assert shares.trust_s <= TRUST_MAX_SHARE * news_max_s
-    if read_s <= 0.2 * news_max_s:
-        assert shares.trust_s + read_s < news_max_s
+    assert shares.evidence_max_age_s <= EVIDENCE_AGE_MAX_SHARE * propagation_max_s
+    if read_s <= 0.2 * propagation_max_s:
+        assert shares.evidence_max_age_s + read_s < propagation_max_s
 
 
 def test_short_manifests_are_waited_for_as_long_as_ever():
     # Each call to the store is paid for; time is set aside only for what takes time.
-    assert share_news_time(2.0, 0.02).trust_s == TRUST_MAX_SHARE * 2.0
-    assert share_news_time(2.0, 0.02).watch_s == 1.0
+    assert (
+        split_propagation_time(2.0, 0.02).evidence_max_age_s
+        == EVIDENCE_AGE_MAX_SHARE * 2.0
+    )
+    assert split_propagation_time(2.0, 0.02).watch_s == 1.0
--- a/tests/test_store_news.py
+++ b/tests/test_store_news.py
@@ -4,19 +4,19 @@
 
 from tamarackrill.testing.store_fleet import PlayedFleet, PlayedStore
 
-NEWS_MAX_S = 4.0
+PROPAGATION_MAX_S = 4.0
 
 
 def make_fleet(count, acked_s=(), **fields):
-    return PlayedFleet(count, PlayedStore(acked_s), NEWS_MAX_S, **fields)
+    return PlayedFleet(count, PlayedStore(acked_s), PROPAGATION_MAX_S, **fields)
 
 
 def check_in_force(fleet, names=None):
-    assert max(fleet.find_delays_s(names)) <= NEWS_MAX_S
+    assert max(fleet.find_delays_s(names)) <= PROPAGATION_MAX_S
 
 
 # One watcher's calls, and as many again for those who ask when its word is late.
-CALLS_PER_S = 2 / (NEWS_MAX_S / 2)
+CALLS_PER_S = 2 / (PROPAGATION_MAX_S / 2)
 
 
 @pytest.mark.parametrize("count", [8, 76, 195, 370])
@@ -33,7 +33,7 @@
     # Guards against a router that holds a change and does not pass it on at once.
     fleet = make_fleet(count, [10.0 + 0.9 * n for n in range(10)])
     fleet.run(24.0)
-    assert max(fleet.find_delays_s()) <= NEWS_MAX_S / 4
+    assert max(fleet.find_delays_s()) <= PROPAGATION_MAX_S / 4
 
 
 @pytest.mark.parametrize("count", [8, 76, 195, 370])
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -10,7 +10,7 @@
     STAGGER_MAX_S,
     Bulletin,
     Evidence,
-    Watching,
+    WatchPolicy,
 )
 from tamarackrill.protocol.bulletin_codec import decode_bulletin, encode_bulletin
 
@@ -25,7 +25,7 @@
 
 
 def make_zone(names=ROUTERS):
-    routers = {name: Watching(name, "zone", TRUST_S) for name in names}
+    routers = {name: WatchPolicy(name, "zone", TRUST_S) for name in names}
     for router in routers.values():
         router.set_members(names)
     return routers
@@ -41,13 +41,13 @@
 
 
 def test_router_that_knows_nobody_watches():
-    assert Watching("alone", "zone", TRUST_S).find_wait_s(KIND, 0.0) == 0.0
+    assert WatchPolicy("alone", "zone", TRUST_S).find_wait_s(KIND, 0.0) == 0.0
 
 
 def test_new_router_asks_now_and_then_and_does_not_watch():
     # A fleet of sixty starts at once, and every endpoint writes its entry.  Were each
     # router to watch until it knows its zone, each entry would cost sixty calls.
-    new = Watching("a", "zone", TRUST_S, settled_s=7.0)
+    new = WatchPolicy("a", "zone", TRUST_S, settled_s=7.0)
     assert new.find_wait_s(KIND, 0.0) == 0.0
     new.observe_answer(KIND, 0.0)
     assert 1.0 < new.find_wait_s(KIND, 0.0) < TRUST_S
@@ -61,7 +61,7 @@
     # last, a key that is taken away meanwhile would be served for ever.
     routers = make_zone()
     follower = next(r for r in routers.values() if not r.is_watcher)
-    follower.hear(make_bulletin("router-x", 1, age_s=0.4), 10.0)
+    follower.observe_bulletin(make_bulletin("router-x", 1, age_s=0.4), 10.0)
     rest_s = follower.find_wait_s(KIND, 10.0)
     assert TRUST_S - 0.4 <= rest_s <= TRUST_S - 0.4 + STAGGER_MAX_S
     assert follower.find_wait_s(KIND, 10.0 + rest_s) == 0.0
@@ -70,7 +70,7 @@
 def test_watcher_whose_own_evidence_is_old_tells_nothing():
     # The store has turned the watcher away.  Were its bulletins to go on, nobody in the
     # zone would notice that the store is to be asked by someone else.
-    watcher = Watching("a", "zone", TRUST_S)
+    watcher = WatchPolicy("a", "zone", TRUST_S)
     watcher.observe_answer(KIND, 0.0)
     assert len(watcher.make_evidence([make_digest()], 1.0)) == 1
     assert watcher.make_evidence([make_digest()], TRUST_S) == ()
@@ -78,40 +78,40 @@
 
 def test_evidence_of_others_is_not_passed_on():
     # Two routers that believe each other's word would keep it fresh without the store.
-    follower = Watching("a", "zone", TRUST_S)
-    follower.hear(make_bulletin("b", 1), 0.0)
+    follower = WatchPolicy("a", "zone", TRUST_S)
+    follower.observe_bulletin(make_bulletin("b", 1), 0.0)
     assert follower.make_evidence([make_digest()], 0.0) == ()
 
 
 def test_evidence_is_passed_on_by_who_holds_more_than_it_tells_of():
     # Guards against a head that has pulled a change and tells its zone of it only at
     # the store's next answer.
-    head = Watching("a", "zone", TRUST_S)
-    head.hear(make_bulletin("b", 1), 0.0)
+    head = WatchPolicy("a", "zone", TRUST_S)
+    head.observe_bulletin(make_bulletin("b", 1), 0.0)
     newer = ConfigurationDigest(KIND, 2, 2, 2)
-    (passed_on,) = head.make_relayed([newer], 0.0)
+    (passed_on,) = head.make_relayed_evidence([newer], 0.0)
     assert (passed_on.digest, passed_on.origin, passed_on.hops) == (newer, "b", 1)
 
 
 def test_evidence_is_not_passed_on_by_who_lacks_what_it_tells_of():
-    head = Watching("a", "zone", TRUST_S)
-    head.hear(make_bulletin("b", 1), 0.0)
-    assert head.make_relayed([ConfigurationDigest(KIND, 0, 0, 7)], 0.0) == ()
+    head = WatchPolicy("a", "zone", TRUST_S)
+    head.observe_bulletin(make_bulletin("b", 1), 0.0)
+    assert head.make_relayed_evidence([ConfigurationDigest(KIND, 0, 0, 7)], 0.0) == ()
 
 
 def test_late_and_double_bulletins_are_no_news():
-    follower = Watching("a", "zone", TRUST_S)
-    assert follower.hear(make_bulletin("b", 2), 0.0)
-    assert not follower.hear(make_bulletin("b", 2), 5.0)
-    assert not follower.hear(make_bulletin("b", 1), 5.0)
-    assert follower.hear(make_bulletin("b", 1, session=2), 5.0)
+    follower = WatchPolicy("a", "zone", TRUST_S)
+    assert follower.observe_bulletin(make_bulletin("b", 2), 0.0)
+    assert not follower.observe_bulletin(make_bulletin("b", 2), 5.0)
+    assert not follower.observe_bulletin(make_bulletin("b", 1), 5.0)
+    assert follower.observe_bulletin(make_bulletin("b", 1, session=2), 5.0)
 
 
 def test_followers_do_not_all_ask_at_once():
     routers = make_zone([f"r{number}" for number in range(15)])
     followers = [r for r in routers.values() if not r.is_watcher]
     for follower in followers:
-        follower.hear(make_bulletin("x", 1), 0.0)
+        follower.observe_bulletin(make_bulletin("x", 1), 0.0)
     starts = {round(follower.find_wait_s(KIND, 0.0), 3) for follower in followers}
     assert len(starts) >= 5
     assert max(starts) <= TRUST_S + STAGGER_MAX_S
@@ -149,7 +149,7 @@
 
     @rule(name=st.sampled_from(ROUTERS))
     def kill(self, name):
-        self.routers[name] = Watching(name, "zone", TRUST_S)
+        self.routers[name] = WatchPolicy(name, "zone", TRUST_S)
         self.frozen.discard(name)
         self.fresh_s[name] = self.running_since_s[name] = self.now_s
 
@@ -200,7 +200,7 @@
                 self._deliver(other, sent)
 
     def _deliver(self, other, sent):
-        if self.routers[other].hear(sent, self.now_s):
+        if self.routers[other].observe_bulletin(sent, self.now_s):
             age_s = sent.evidence[0].age_s
             self.fresh_s[other] = max(self.fresh_s[other], self.now_s - age_s)
 
