--- a/src/tamarackrill/decisions/configuration.py
+++ b/src/tamarackrill/decisions/configuration.py
@@ -1,22 +1,22 @@
-"""The configuration that one router holds, which never goes back.
-
-Answers the load of a fleet in which every router hears of each change several
-times and in any order: from its watch, from a list read after an outage, from
-peers.  Without it a stale read, a peer that was frozen, or a router that restarts
-from its peers would bring an old contract back into force, and a customer's limits
-would depend on the router that serves the request.
-
-The platform gives every write and every deletion the next number of one global
-revision, so versions of one object are totally ordered and "newer" needs no clock.
-An object is taken only if its version is above the one held.
-
-A deletion leaves a tombstone, else a late copy of the object would look new.  Besides
-the tombstones each kind has a ``complete`` revision: everything that happened up to
-it is in the store, so an unknown object at or below it must have been deleted.  This
-allows tombstones at or below it to be dropped: `TOMBSTONES_MAX` of them are kept, so
-that peers which are only a little behind can be sent changes instead of everything.
-3,900 changes a day, were all of them deletions, would fill it in six hours; a peer
-that was away for longer gets the whole list.
+"""Versioned local store of the platform's configuration, which never reverts.
+
+Load pattern: every router receives each change several times and in any order: from
+its watch, from a list read after an outage, from peers.  Without versions a stale
+read, a peer that was frozen, or a router that restarts from its peers would bring an
+old contract back into force, and a customer's limits would depend on the router that
+serves the request.
+
+The platform numbers all writes and deletions by one global revision, so versions of
+an object are totally ordered without a clock.  An object is stored only if its version
+is above the one held.
+
+A deletion leaves a tombstone, or a late copy of the object would look new.  In
+addition each kind has a ``complete`` revision: the store holds everything that
+happened up to it, so an unknown object at or below it must have been deleted.
+Tombstones at or below it can therefore be dropped; `TOMBSTONES_MAX` of them are kept,
+so that peers that are slightly behind can be sent changes instead of a full list.
+3,900 changes a day, if all were deletions, would fill it in six hours; a peer that was
+away for longer gets the full list.
 """
 
 import hashlib
@@ -37,20 +37,20 @@
 
 
 class ConfigurationDigest(NamedTuple):
-    """What a router tells its peers about the objects of one kind that it holds.
+    """Summary of the objects of one kind that a router holds, sent to its peers.
 
     Parameters
     ----------
     kind : str
         Kind of the objects.
     complete : int
-        Revision up to which nothing is missing.
+        Revision up to which no change is missing.
     newest : int
         Highest version held, deletions included.
     content : int
-        Hash over name and version of the objects that exist.  It tells whether two
-        routers differ even where their revisions say nothing: the platform's
-        revision also counts writes of other kinds.
+        Hash over name and version of the existing objects.  It shows whether two
+        routers differ where their revisions do not, as the platform's revision also
+        counts writes of other kinds.
     """
 
     kind: str
@@ -69,9 +69,9 @@
     objects : tuple of ObjectVersion
         Objects and tombstones.
     complete : int
-        Revision up to which the sender lacks nothing.
+        Revision up to which the sender misses no change.
     is_snapshot : bool
-        Whether `objects` is all that exists, instead of what changed.
+        Whether `objects` is the full list instead of the changes.
     """
 
     kind: str
@@ -113,7 +113,7 @@
         return self._complete.get(kind, 0)
 
     def digest(self, kind: str) -> ConfigurationDigest:
-        """Return what peers need to know to find out whether they differ."""
+        """Return the digest that peers compare with their own."""
         return ConfigurationDigest(
             kind,
             self.get_complete(kind),
@@ -122,7 +122,7 @@
         )
 
     def changes_since(self, kind: str, revision: int) -> ChangeSet:
-        """Return what a peer lacks whose `complete` revision is `revision`."""
+        """Return what a peer lacks if its `complete` revision is `revision`."""
         held = self._held.get(kind, {}).values()
         is_snapshot = revision < self._history_from.get(kind, 0) or revision == 0
         lacking = (item for item in held if is_snapshot or item.version > revision)
@@ -132,7 +132,7 @@
     def apply_version(
         self, kind: str, name: str, version: int, value: dict[str, Any] | None
     ) -> bool:
-        """Take one version of an object if it is newer than the one held.
+        """Store one version of an object if it is newer than the one held.
 
         Parameters
         ----------
@@ -146,51 +146,51 @@
         Returns
         -------
         bool
-            Whether the version was newer and is now in force.
+            Whether the version was newer and is now stored.
         """
         held = self._held.setdefault(kind, {}).get(name)
         if held is not None and held.value is not None:
             newer = version > held.version
         else:
-            # A tombstone may have been dropped, or stand for an earlier deletion.
-            # A frozen peer that wakes up would bring a deleted contract back here,
-            # and its customer would be served again.
+            # The tombstone may have been dropped, or may be of an earlier deletion.
+            # A peer that was frozen would bring a deleted contract back here, and its
+            # customer would be served again.
             deleted = held.version if held is not None else 0
             newer = version > max(deleted, self.get_complete(kind))
         if newer:
-            self._put(ObjectVersion(kind, name, version, value), held)
+            self._store_version(ObjectVersion(kind, name, version, value), held)
         return newer
 
     def apply_changes(self, changes: ChangeSet) -> list[ObjectVersion]:
-        """Take a list read from the platform, or changes sent by it or a peer.
+        """Apply a list read from the platform, or changes sent by it or a peer.
 
         Parameters
         ----------
         changes : Changes
-            If `is_snapshot`, objects that it lacks were deleted by its `complete`
-            revision.  Otherwise it must hold everything between this store's
+            If `is_snapshot`, objects that it lacks count as deleted by its `complete`
+            revision.  Otherwise it must hold every change between this store's
             `complete` revision and its own.
 
         Returns
         -------
         list of ObjectVersion
-            What is newly in force, deletions included.
+            The versions that were newer, deletions included.
         """
-        taken = [item for item in changes.objects if self.apply_version(*item)]
+        applied = [item for item in changes.objects if self.apply_version(*item)]
         if changes.is_snapshot:
-            taken += self._delete_missing(changes)
-            # A list does not name what was created and deleted since this store last
-            # heard; a peer that still holds such an object would keep it for good if
-            # it were sent changes from before the list.
-            self._forget_history(changes.kind, changes.complete)
+            applied += self._delete_missing(changes)
+            # A list does not show objects that were created and deleted since this
+            # store's last update.  A peer that still holds one would keep it for good
+            # if it were sent changes from before the list.
+            self._drop_history(changes.kind, changes.complete)
         self._advance(changes.kind, changes.complete)
-        return taken
+        return applied
 
     def adopt_complete_revision(self, peer: ConfigurationDigest) -> None:
-        """Take from a peer that holds the same up to which revision that is all.
+        """Advance to the `complete` revision of a peer that holds the same objects.
 
-        A router that asks the platform only when it hears of a change would otherwise
-        ask from a revision whose history is gone, and have to read the whole list.
+        A router that queries the platform only after a change would otherwise ask for
+        changes since a revision whose history is gone, and have to read the full list.
         """
         if peer.content == self._content.get(peer.kind, 0):
             self._advance(peer.kind, peer.complete)
@@ -218,13 +218,15 @@
         )
         for version, name in tombstones[: max(0, len(tombstones) - TOMBSTONES_MAX)]:
             del held[name]
-            self._forget_history(kind, version)
+            self._drop_history(kind, version)
 
-    def _forget_history(self, kind: str, revision: int) -> None:
+    def _drop_history(self, kind: str, revision: int) -> None:
         known = self._history_from.get(kind, 0)
         self._history_from[kind] = max(known, revision)
 
-    def _put(self, item: ObjectVersion, replaced: ObjectVersion | None) -> None:
+    def _store_version(
+        self, item: ObjectVersion, replaced: ObjectVersion | None
+    ) -> None:
         content = self._content.get(item.kind, 0)
         content += _hash_items([item]) - _hash_items([replaced] if replaced else [])
         self._content[item.kind] = content % _HASH_MODULUS
@@ -234,10 +236,10 @@
 
 
 def needs_changes(own: ConfigurationDigest, peer: ConfigurationDigest) -> bool:
-    """Return whether a router should ask this peer for changes.
+    """Return whether a router should request changes from this peer.
 
-    Only the side that may lack something asks.  Where the digests leave that open
-    both ask, which costs one message and ends the difference.
+    Only the side that may lack something does.  Where the digests leave that open both
+    do, which costs one message and resolves the difference.
     """
     if own.content == peer.content:
         return False
@@ -246,7 +248,7 @@
 
 
 def _hash_items(items: Iterable[ObjectVersion]) -> int:
-    """Return a sum, so that a change costs one hash and not one of the whole."""
+    """Return a sum of hashes, so that a change costs one hash, not a full rehash."""
     total = 0
     for item in items:
         if item.value is not None:
--- a/src/tamarackrill/decisions/hashing.py
+++ b/src/tamarackrill/decisions/hashing.py
@@ -1,16 +1,16 @@
-"""Weighted rendezvous hashing: the order in which a key prefers its members.
+"""Rendezvous hashing: the order of members for a key.
 
 Load pattern: many keys (chats) that come back, over members (engines, routers) that
-join, leave and flap.  Every router must find the same member for a key without asking
-anyone.  Without it, a change of one member would move the keys of all the others
-(as a hash modulo the number of members does), and each moved chat would pay for its
-whole prefix again.
+join, leave and flap.  Every router must find the same member for a key without
+coordination.  With a hash modulo the number of members, a change of one member would
+move the keys of all the others, and each moved chat would have its whole prefix
+computed again.
 
-A key's score at a member depends on these two alone.  So the loss of a member moves
-only that member's keys, each to its own second choice, and they come back with it.
+A score depends only on the key and the member.  So the loss of a member moves only that
+member's keys, each to its own second choice, and they return when it does.
 
-Cost: one multiplication chain for each member, with the member's own hash kept.  See
-docs/design/routing.md for the measured time at 780 members.
+Cost: one multiplication chain per member; the members' hashes are cached.  See
+docs/design/routing.md for the time at 780 members.
 """
 
 import hashlib
@@ -20,16 +20,16 @@
 from typing import NamedTuple
 
 _MASK = (1 << 64) - 1
-# Multipliers of the finalizer of MurmurHash3, which spreads each input bit over all
-# output bits; two rounds suffice because both inputs are full 64-bit hashes already.
+# Multipliers of MurmurHash3's finalizer, which spreads each input bit over all output
+# bits; two rounds suffice because both inputs are full 64-bit hashes already.
 _MULTIPLIER_FIRST = 0xFF51AFD7ED558CCD
 _MULTIPLIER_SECOND = 0xC4CEB9FE1A85EC53
-# Lists of members whose hashes are kept: one for each of 23 models, and the routers.
+# Member lists whose hashes are cached: one for each of 23 models, and the routers.
 # At 780 members a list takes about 40 KB.
-_LISTS_KEPT = 32
-# Names whose hashes are kept, some 150 bytes each: endpoints and routers come and go
-# one by one, and a new list of thousands would cost a digest for each of them.
-_NAMES_KEPT = 8_192
+_LISTS_CACHED = 32
+# Names whose hashes are cached, some 150 bytes each: endpoints and routers come and go
+# one by one, and without the cache a new list of thousands would rehash each of them.
+_NAMES_CACHED = 8_192
 
 
 def hash_name(name: str) -> int:
@@ -39,13 +39,13 @@
 
 
 class HashedMembers(NamedTuple):
-    """Members with their hashes, for those who rank the same ones over and over."""
+    """Members with precomputed hashes, for callers that rank the same ones often."""
 
     names: tuple[str, ...]
     hashes: tuple[int, ...]
 
 
-@lru_cache(maxsize=_NAMES_KEPT)
+@lru_cache(maxsize=_NAMES_CACHED)
 def _hash_member(name: str) -> int:
     return hash_name(name)
 
@@ -56,15 +56,15 @@
     return HashedMembers(listed, tuple(map(_hash_member, listed)))
 
 
-@lru_cache(maxsize=_LISTS_KEPT)
-def _remember_members(names: tuple[str, ...]) -> HashedMembers:
+@lru_cache(maxsize=_LISTS_CACHED)
+def _hash_members_cached(names: tuple[str, ...]) -> HashedMembers:
     return hash_members(names)
 
 
-def _score(key: str, members: HashedMembers) -> list[int]:
+def _score_members(key: str, members: HashedMembers) -> list[int]:
     key_hash = hash_name(key)
-    # Written as one expression: a call for each member trebles the time, which is
-    # what limits a decision over 780 members.
+    # One expression, because a call for each member triples the time, which dominates
+    # a decision over 780 members.
     return [
         (
             ((mixed := ((key_hash ^ member) * _MULTIPLIER_FIRST) & _MASK) ^ mixed >> 33)
@@ -76,12 +76,12 @@
 
 
 def rendezvous_order(key: str, members: Sequence[str], count: int) -> list[str]:
-    """Return the members that `key` prefers, best first.
+    """Return the members with the highest scores for `key`, best first.
 
     Parameters
     ----------
     key : str
-        Name of a chat, or of anything else that needs a place.
+        Name of a chat, or of anything else to be placed.
     members : sequence of str
         Names, in any order; the result does not depend on it.
     count : int
@@ -92,15 +92,15 @@
     list of str
         At most `count` of `members`.
     """
-    return order_members(key, _remember_members(tuple(members)), count)
+    return order_members(key, _hash_members_cached(tuple(members)), count)
 
 
 def order_members(key: str, members: HashedMembers, count: int) -> list[str]:
-    """Return the members that `key` prefers, best first; see `rendezvous_order`."""
-    scored = zip(_score(key, members), members.names, strict=True)
+    """Return the best members for `key`, best first; see `rendezvous_order`."""
+    scored = zip(_score_members(key, members), members.names, strict=True)
     return [member for _, member in heapq.nlargest(count, scored)]
 
 
 def rank(key: str, members: Sequence[str]) -> list[str]:
-    """Return all members in the order in which `key` prefers them."""
+    """Return all members in their order for `key`, best first."""
     return rendezvous_order(key, members, len(members))
--- a/src/tamarackrill/decisions/incarnations.py
+++ b/src/tamarackrill/decisions/incarnations.py
@@ -1,14 +1,14 @@
-"""Which endpoints have started anew under the name that they had.
+"""Detects endpoints that have restarted under the same name.
 
 Load pattern: an endpoint crashes, and its process is back within seconds under the same
-name, with an empty cache and nothing in flight.  What routers believe of it is then
-about a process that is gone: they send sessions after caches that hold nothing, name it
-to copy from, take its old requests for load, and keep it from work for failures of the
-process before.  Each of these prompts is read again, and a sound endpoint stays idle.
-
-An endpoint tells when its process started.  Another start than the one known ends what
-was believed.  The starts of endpoints that have gone are remembered too, as an entry
-most often lapses between the crash and the new start.
+name, with an empty cache and nothing in flight.  Routers still hold the state of the
+old process: they route sessions to a cache that is empty, name the endpoint as a source
+to copy from, count its old requests as load, and keep it ejected for the old process's
+failures.  Prompts are then computed again, and a healthy endpoint stays idle.
+
+An endpoint reports when its process started; a different start time invalidates that
+state.  Start times of removed endpoints are remembered too, as an entry usually expires
+between the crash and the restart.
 """
 
 from collections import OrderedDict
@@ -17,21 +17,21 @@
 from tamarackrill.contracts import Endpoint
 
 # Endpoints remembered: five times as many as one fleet is expected to have, so that an
-# ordinary day of restarts does not push out those that are away.
+# ordinary day of restarts does not evict those that are absent.
 STARTS_KEPT = 4096
 
 
 class Incarnations:
-    """Starts of the processes behind endpoints, as one router has heard of them."""
+    """Known start times of endpoint processes."""
 
     def __init__(self) -> None:
         self._started_ms: OrderedDict[str, int] = OrderedDict()
 
     def observe(self, endpoints: Iterable[Endpoint]) -> list[str]:
-        """Take all endpoints known now; return those that have started anew.
+        """Record all current endpoints; return the names of those that have restarted.
 
-        One that does not tell when it started is taken to be the process that it was.
-        A start may also lie before the known one, where the endpoint's clock was set.
+        An endpoint that reports no start time counts as the same process.  A start time
+        may also be earlier than the known one, if the endpoint's clock was set back.
         """
         restarted = []
         for endpoint in endpoints:
--- a/src/tamarackrill/decisions/manifests.py
+++ b/src/tamarackrill/decisions/manifests.py
@@ -1,12 +1,12 @@
-"""Manifest of a deployment: routes, services, limits and teams, and what they decide.
+"""Manifest of a deployment (routes, services, limits, teams) and its look-ups.
 
 Load pattern: operators move routes between services, split them, add hundreds at a time
-and take keys away while requests arrive.  A router answers each request from one
-manifest as a whole: were routes and keys read one by one, a request could match a route
-of the new version with a key of the old one.
+and revoke keys while requests arrive.  A router serves each request from a single
+version of the manifest: if routes and keys were read separately, a request could match
+a route of the new version with a key of the old one.
 
-Finding a route costs one look-up for each slash of the path, not one for each route, so
-that 600 more routes do not make requests slower.
+Finding a route costs one look-up per slash of the path, not one per route, so 600 more
+routes do not make requests slower.
 """
 
 from collections.abc import Iterator, Sequence
@@ -15,8 +15,8 @@
 from tamarackrill.decisions import hashing
 
 RouteKind = Literal["idempotent", "non_idempotent", "streaming"]
-# Steps in which the weights of a split are resolved.  Weights are whole per cent or
-# finer; a millionth loses no request of a day.
+# Resolution of a split.  Weights are whole per cent or finer; a millionth loses no
+# request of a day.
 _SPLIT_STEPS = 1_000_000
 
 
@@ -35,27 +35,27 @@
     name : str
         Unique name.
     host, path_prefix : str
-        Which requests it takes; the prefix begins and ends with a slash.
+        Requests that it matches; the prefix begins and ends with a slash.
     kind : {"idempotent", "non_idempotent", "streaming"}
-        What may be repeated, and whether the answer is a stream of events.
+        Whether requests may be repeated, and whether the answer is an event stream.
     timeout_s : float
-        Longest time a request may be kept waiting for its final answer.
+        Longest time until the final answer of a request.
     objective_s : float
         Response-time objective; for a stream that of its first event.
     gap_objective_s : float
-        Longest pause between events of a stream that is still on time; 0 if unknown.
+        Objective for the time between events of a stream; 0 if unknown.
     priority : int
         0 is the most urgent.
     shares : tuple of ServiceShare
         Services that run its requests.
     attempts_max : int
-        Endpoints that one request may be sent to.
+        Number of endpoints that one request may be sent to.
     is_anonymous : bool
         Whether requests need no key.
     has_affinity : bool
         Whether requests belong to sessions whose prompts endpoints cache.
     is_resumable : bool
-        Whether a stream may go on at another endpoint.
+        Whether a stream may be resumed at another endpoint.
     """
 
     name: str
@@ -90,12 +90,12 @@
     health_path : str
         Path of its endpoints' health probe.
     connections_max : int
-        Connections that one endpoint takes from all routers together.
+        Connections that one endpoint accepts from all routers together.
     is_engine : bool
         Whether its endpoints are model engines.
     copy_token_s : float or None
-        Time in which one engine copies a cached token from another; None if they
-        don't copy.
+        Time to copy one cached token from another engine; None if engines do not
+        copy.
     """
 
     name: str
@@ -124,7 +124,7 @@
     keys : tuple of str
         Keys in force.
     priority : int or None
-        Goes before that of the route; None if the team has none of its own.
+        Overrides that of the route; None if the team has none of its own.
     """
 
     name: str
@@ -133,9 +133,9 @@
 
 
 class Manifest(NamedTuple):
-    """One version of a deployment's manifest, whole.
+    """One complete version of a deployment's manifest.
 
-    `teams` is None if the manifest asks for no keys.
+    `teams` is None if the manifest requires no keys.
     """
 
     version: int
@@ -168,7 +168,7 @@
         Parameters
         ----------
         host : str
-            Host that the client named; a port is passed over.
+            Host named by the client; a port is ignored.
         path : str
             Path without its query.
         """
@@ -190,25 +190,25 @@
 
 
 def choose_service(shares: Sequence[ServiceShare], key: str) -> str | None:
-    """Return the service of a split that a request goes to; None if all weigh nothing.
+    """Return the service that a request is sent to; None if all weights are 0.
 
     Parameters
     ----------
     shares : sequence of ServiceShare
         The split of the request's route.
     key : str
-        Identifies the request, so that each router finds the same service for it.
+        Identifies the request; every router chooses the same service for it.
     """
-    weighty = [share for share in shares if share.weight > 0]
-    if len(weighty) <= 1:
-        return weighty[0].service if weighty else None
-    total = sum(share.weight for share in weighty)
+    weighted = [share for share in shares if share.weight > 0]
+    if len(weighted) <= 1:
+        return weighted[0].service if weighted else None
+    total = sum(share.weight for share in weighted)
     point = hashing.hash_name(key) % _SPLIT_STEPS / _SPLIT_STEPS * total
-    for share in weighty:
+    for share in weighted:
         point -= share.weight
         if point < 0:
             return share.service
-    return weighty[-1].service
+    return weighted[-1].service
 
 
 def _list_prefixes(path: str) -> Iterator[str]:
--- a/src/tamarackrill/decisions/members.py
+++ b/src/tamarackrill/decisions/members.py
@@ -1,8 +1,9 @@
-"""Records of the routers, the messages that carry them, and what they weigh.
+"""Membership records, gossip messages and estimates of their encoded size.
 
-A record is replaced only by a greater one: a higher incarnation, or a later state of
-the same incarnation.  So routers that hear the same records in any order, some of
-them twice, hold the same view.
+Load pattern: records arrive in any order, some of them twice.  A record is replaced
+only by a higher incarnation, or by a later state of the same incarnation, so routers
+that receive the same records end up with the same view.  Without that order an old
+record could bring back a router that has failed.
 """
 
 import hashlib
@@ -13,8 +14,8 @@
 from tamarackrill.decisions.loads import EndpointLoad
 from tamarackrill.decisions.poison import CrashCount
 
-# Weights of the encoded parts, with UDP and IP headers; test_codec.py checks that no
-# message is heavier than its estimate.
+# Upper bounds of the encoded sizes, UDP and IP headers included; test_codec.py checks
+# that no message exceeds its estimate.
 _MESSAGE_BYTES = 115
 _RECORD_BYTES = 18
 _DIGEST_BYTES = 34
@@ -23,7 +24,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a router, in the order in which one replaces another."""
+    """State of a router; within an incarnation a higher state replaces a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -42,19 +43,19 @@
 
 
 class MemberRecord(NamedTuple):
-    """What is known of one router.
+    """One router's addresses and state in an incarnation.
 
     Parameters
     ----------
     name : str
         Unique name of the VM.
     incarnation : int
-        Raised by the router itself alone: at its start and to refute a rumour.
+        Raised only by the router itself, at its start and to refute a suspicion.
     state : MemberState
         State in that incarnation.
     zone : str
-        Availability zone.  Empty, like the addresses, in a record that only tells
-        of a state.
+        Availability zone.  Empty, like the addresses, in a record that carries only
+        a state.
     address, peer_address : str
         ``host:port`` for requests (TCP) and for other routers (UDP).
     """
@@ -67,13 +68,13 @@
     peer_address: str = ""
 
     def replaces(self, other: "MemberRecord") -> bool:
-        """Return whether this record is the newer one of the same router."""
-        mine = (self.incarnation, self.state)
-        return mine > (other.incarnation, other.state)
+        """Return whether this record is newer than another one of the same router."""
+        own_order = (self.incarnation, self.state)
+        return own_order > (other.incarnation, other.state)
 
 
 class PiggybackedEntries(NamedTuple):
-    """What other modules exchange through gossip, most urgent first."""
+    """Data of other modules that is piggybacked on gossip, most urgent first."""
 
     crashes: tuple[CrashCount, ...] = ()
     loads: tuple[EndpointLoad, ...] = ()
@@ -95,27 +96,27 @@
     sender : str
         Name of the sending router.
     session : int
-        Start of the sending process, in ms since the epoch.
+        Start time of the sending process, in ms since the epoch.
     sequence : int
-        Rises with each message of a session; an old one is a replay.
+        Increases with each message of a session; a lower one is a replay.
     purpose : Purpose
-        A ping wants an ack.
+        A ping is answered with an ack.
     members : tuple of MemberRecord
-        The sender's own record first, then news.
+        The sender's own record first, then changes to spread.
     page : tuple of MemberRecord
-        Records that the receiver asked for; no news to others.
+        Records that the receiver requested; it does not spread them further.
     view : int
         Hash over the sender's view; equal views need no records.
     known : int
         Number of routers in the sender's view.
     after : str
-        The receiver should send the records that follow this name.
+        Cursor: the receiver should send the records that follow this name.
     buckets : bytes
         Hashes of parts of the sender's view, if it knows that it differs from others'.
     configuration : tuple of ConfigurationDigest
         One for each kind of object.
     entries : Entries
-        Passed on unread.
+        Data of other modules; not interpreted here.
     """
 
     sender: str
@@ -133,19 +134,19 @@
 
 
 def hash_record(record: MemberRecord) -> int:
-    """Return this record's part of the view's hash."""
+    """Return what a record contributes to the hash of a view."""
     key = f"{record.name}\0{record.incarnation}\0{record.state}".encode()
     return int.from_bytes(hashlib.blake2b(key, digest_size=8).digest())
 
 
 def estimate_record_bytes(record: MemberRecord) -> int:
-    """Return the most bytes that a record takes in a message."""
+    """Return an upper bound of a record's encoded size."""
     texts = (record.name, record.zone, record.address, record.peer_address)
     return _RECORD_BYTES + sum(len(text.encode()) for text in texts)
 
 
 def estimate_base_bytes(sender: str, after: str, buckets: bytes, digests: int) -> int:
-    """Return the most bytes of a message without records and entries."""
+    """Return an upper bound of a message's size without records and entries."""
     return (
         _MESSAGE_BYTES
         + len(sender.encode())
@@ -158,20 +159,24 @@
 def choose_entries(
     entries: PiggybackedEntries, limit_bytes: int
 ) -> tuple[PiggybackedEntries, int]:
-    """Return the first entries that fit, and what they weigh in bytes."""
-    crashes, left = _fit(entries.crashes, [_CRASH_BYTES], limit_bytes)
-    weights = [_LOAD_BYTES + len(item.endpoint.encode()) for item in entries.loads]
-    loads, left = _fit(entries.loads, weights, left)
-    return PiggybackedEntries(crashes, loads), limit_bytes - left
+    """Return the first entries that fit, and their estimated size in bytes."""
+    crashes, left_bytes = _take_while_fitting(
+        entries.crashes, [_CRASH_BYTES], limit_bytes
+    )
+    sizes = [_LOAD_BYTES + len(item.endpoint.encode()) for item in entries.loads]
+    loads, left_bytes = _take_while_fitting(entries.loads, sizes, left_bytes)
+    return PiggybackedEntries(crashes, loads), limit_bytes - left_bytes
 
 
-def _fit(items: tuple, weights: list[int], limit_bytes: int) -> tuple[tuple, int]:
+def _take_while_fitting(
+    items: tuple, sizes: list[int], limit_bytes: int
+) -> tuple[tuple, int]:
     chosen = []
-    if len(weights) != len(items):
-        weights = weights * len(items)
-    for item, weight in zip(items, weights, strict=True):
-        if weight > limit_bytes:
+    if len(sizes) != len(items):
+        sizes = sizes * len(items)
+    for item, size in zip(items, sizes, strict=True):
+        if size > limit_bytes:
             break
         chosen.append(item)
-        limit_bytes -= weight
+        limit_bytes -= size
     return tuple(chosen), limit_bytes
