--- a/src/tamarackrill/decisions/views.py
+++ b/src/tamarackrill/decisions/views.py
@@ -193,10 +193,10 @@
         routers = len(self.records) + 1
         self._sends_left[name] = math.ceil(RETRANSMIT_FACTOR * math.log2(routers + 1))
 
-    def _reduce_sends(self, heard: MemberRecord, held: MemberRecord) -> None:
+    def _reduce_sends(self, received: MemberRecord, held: MemberRecord) -> None:
         """Send a change less often when others already know it."""
         left = self._sends_left.get(held.name)
-        if left is None or heard[:3] != held[:3]:
+        if left is None or received[:3] != held[:3]:
             return
         if left > DUPLICATE_SENDS_SAVED:
             self._sends_left[held.name] = left - DUPLICATE_SENDS_SAVED
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -17,7 +17,7 @@
 
 
 class History:
-    """All writes to the platform, so that any stale view of it can be read."""
+    """All writes to the platform, so that it can be read as of any revision."""
 
     def __init__(self, events=()):
         self.events = list(events)
@@ -46,7 +46,7 @@
 
 
 def check_not_older(history, store, name, version):
-    """Return the version in force; fail if it lies before `version`."""
+    """Return the version in force; fail if it is older than `version`."""
     held = store.get(KIND, name)
     if held is not None:
         assert held.version >= version, f"{name} went back"
@@ -59,10 +59,9 @@
 
 
 class NeverReverts(RuleBasedStateMachine):
-    # Two routers hear of operators' changes by watch, by lists read from a platform
-    # that answers from an old copy, and from one another; either may restart.  Were
-    # one to go back, a customer would be served by limits that its operator has
-    # withdrawn, at some routers and not at others.
+    # Two routers receive operators' changes by watch, by lists from a platform that
+    # answers from a stale copy, and from one another; either may restart.  If one
+    # reverted, some routers would enforce limits that the operator has withdrawn.
     def __init__(self):
         super().__init__()
         self.history = History()
@@ -135,9 +134,9 @@
 
 
 def test_every_order_of_few_messages_keeps_the_newest():
-    # A contract is written, changed, deleted and another written, and a router
-    # hears of it in any order, some of it twice, some of it never.  An operator who
-    # deleted a contract would see its key accepted again at some routers.
+    # A contract is written, changed and deleted, and another is written.  A router
+    # receives these in any order, some of them twice, some never.  Without versions
+    # some routers would accept the key of a deleted contract again.
     history = History()
     for name, weight in [("a", 1), ("a", 2), ("a", None), ("b", 3), ("b", None)]:
         history.write(name, weight and {"weight": weight})
@@ -155,9 +154,9 @@
 
 
 def test_deleted_object_stays_deleted_after_its_tombstone_is_dropped():
-    # A router was frozen for hours with a contract that has been deleted since.
-    # When it wakes it offers the contract to its peers, whose tombstone is long
-    # gone; the withdrawn key would work again.
+    # A router is frozen for hours and holds a contract that has been deleted since.
+    # When it resumes it offers the contract to its peers, which have dropped the
+    # tombstone; the revoked key would work again.
     history = History()
     for name in "abcd":
         history.write(name, {})
@@ -169,9 +168,9 @@
     assert store.get(KIND, "a") is None
 
 
-def test_peer_that_was_away_past_the_tombstones_gets_the_whole():
-    # A router that was cut off longer than tombstones are kept asks for changes.
-    # Changes alone would leave it with contracts that no longer exist.
+def test_peer_away_for_longer_than_tombstones_are_kept_gets_the_full_list():
+    # A router that was partitioned for longer than tombstones are kept requests
+    # changes.  Changes alone would leave it with contracts that no longer exist.
     history = History()
     history.write("a", {})
     away, store = ConfigurationStore(), ConfigurationStore()
@@ -185,9 +184,9 @@
     assert [item.name for item in away.items(KIND)] == ["c"]
 
 
-def test_writes_of_other_kinds_make_no_router_ask():
-    # Claims move the platform's revision hundreds of times a second.  Were
-    # revisions compared, every router would ask its peers all the time.
+def test_writes_of_other_kinds_cause_no_requests_between_peers():
+    # Claims advance the platform's revision hundreds of times a second.  If revisions
+    # were compared, every router would request changes all the time.
     history = History()
     history.write("a", {})
     first, second = ConfigurationStore(), ConfigurationStore()
@@ -197,9 +196,9 @@
 
 
 def test_peer_learns_of_a_deletion_that_a_list_does_not_name():
-    # One router heard of an object before it was deleted, the other read its first
-    # list afterwards and never knew it.  The first would keep the deleted contract
-    # for as long as the platform is out.
+    # One router received an object before it was deleted, the other read its first list
+    # afterwards and never knew it.  The first would keep the deleted contract for as
+    # long as the platform is unavailable.
     history = History()
     for value in [None, {}, None]:
         history.write("a", value)
@@ -214,19 +213,19 @@
         assert not store.apply_version(*history.events[1])
 
 
-def test_router_that_holds_the_same_learns_that_nothing_is_missing():
-    # A router rests on a peer's evidence for longer than the platform keeps history.
-    # Asked from its old revision, the platform would send the whole list.
-    resting, asking = ConfigurationStore(), ConfigurationStore()
+def test_router_with_equal_objects_adopts_the_peers_complete_revision():
+    # A router relies on a peer's evidence for longer than the platform keeps history.
+    # Asked for changes since the old revision, the platform would send the full list.
+    passive, active = ConfigurationStore(), ConfigurationStore()
     item = ObjectVersion("contract", "a", 3, {"x": 1})
-    for store in (resting, asking):
+    for store in (passive, active):
         store.apply_changes(ChangeSet("contract", (item,), 3, True))
-    asking.apply_changes(ChangeSet("contract", (), 900, False))
-    resting.adopt_complete_revision(asking.digest("contract"))
-    assert resting.get_complete("contract") == 900
+    active.apply_changes(ChangeSet("contract", (), 900, False))
+    passive.adopt_complete_revision(active.digest("contract"))
+    assert passive.get_complete("contract") == 900
 
 
-def test_router_that_lacks_something_keeps_its_revision():
+def test_router_with_missing_objects_keeps_its_complete_revision():
     behind, ahead = ConfigurationStore(), ConfigurationStore()
     ahead.apply_changes(
         ChangeSet("contract", (ObjectVersion("contract", "a", 3, {"x": 1}),), 3, True)
--- a/tests/test_hashing.py
+++ b/tests/test_hashing.py
@@ -14,15 +14,15 @@
 
 
 def test_hash_is_the_same_in_every_release():
-    # Routers of two releases run side by side while VMs are replaced.  Were the hash
-    # to change, each chat would have two homes and lose its cache on every request.
+    # Routers of two releases run side by side while VMs are replaced.  If the hash
+    # differed, each chat would alternate between two engines and lose its cache.
     assert hashing.hash_name("chat-1") == 0xA5E2AB8FEB90075B
     assert hashing.rank("chat-1", NAMES)[:3] == ["engine-1", "engine-10", "engine-18"]
 
 
-def test_only_the_chats_of_a_lost_member_move_and_they_come_back():
-    # An engine flaps.  Were others' chats to move too, their callers would wait for
-    # whole prefixes to be computed again though their own engine never failed.
+def test_only_the_keys_of_a_lost_member_move_and_they_return():
+    # An engine flaps.  If chats of other engines moved too, their callers would wait
+    # for whole prefixes to be computed again although their own engine never failed.
     before = _place(NAMES)
     without = _place([name for name in NAMES if name != "engine-7"])
     moved = {key for key in KEYS if before[key] != without[key]}
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Endpoints that start anew under the name that they had."""
+"""Endpoints that restart under the same name."""
 
 import asyncio
 
@@ -17,35 +17,35 @@
     return Endpoint(name, "engine", ("m",), "h:1", "a", started_ms=started_ms)
 
 
-def test_another_start_is_found_once():
+def test_restart_is_reported_once():
     incarnations = Incarnations()
     assert incarnations.observe([make("a", 1), make("b", 1)]) == []
     assert incarnations.observe([make("a", 2), make("b", 1)]) == ["a"]
     assert incarnations.observe([make("a", 2), make("b", 1)]) == []
 
 
-def test_start_is_remembered_while_the_endpoint_is_away():
-    # An endpoint crashes, its entry lapses, and seconds later it is back under its
-    # name.  Taken for the one before, it would get sessions whose cache is lost.
+def test_start_time_is_remembered_while_the_endpoint_is_absent():
+    # An endpoint crashes, its entry expires, and seconds later it is back under its
+    # name.  Treated as the same process, it would get sessions whose cache is lost.
     incarnations = Incarnations()
     incarnations.observe([make("a", 1)])
     incarnations.observe([])
     assert incarnations.observe([make("a", 2)]) == ["a"]
 
 
-def test_start_by_a_clock_that_was_set_back_is_another_one():
+def test_earlier_start_time_after_a_clock_change_is_a_restart():
     incarnations = Incarnations()
     incarnations.observe([make("a", 5000)])
     assert incarnations.observe([make("a", 2000)]) == ["a"]
 
 
-def test_endpoint_that_does_not_tell_its_start_is_the_same():
+def test_endpoint_without_a_start_time_counts_as_the_same_process():
     incarnations = Incarnations()
     for started_ms in (None, 1, None, 1, None):
         assert incarnations.observe([make("a", started_ms)]) == []
 
 
-def test_starts_that_are_remembered_are_bounded():
+def test_remembered_start_times_are_bounded():
     incarnations = Incarnations()
     incarnations.observe([make("first", 1)])
     for number in range(STARTS_KEPT):
@@ -54,9 +54,9 @@
 
 
 def test_second_crash_under_one_name_counts_after_a_restart():
-    # A request crashes an engine, which is back at once, and crashes it again.  Both
-    # crashes come from one name within seconds; counted as one, the request would go
-    # on to take down other engines.
+    # A request crashes an engine, which is back at once, and crashes it again.  If two
+    # crashes under one name within seconds counted as one, the request would go on to
+    # crash other engines.
     poison = Poison()
     assert poison.observe_crash(7, "a", 0.0)
     assert not poison.observe_crash(7, "a", 0.1)
@@ -66,10 +66,10 @@
     assert [count.crashes for count in poison.digest(3.0)] == [2]
 
 
-def test_restarted_engine_is_believed_to_hold_nothing():
-    # An engine starts again under its name, with an empty cache.  A session whose
-    # prompt it held goes on at another one, which would be told to copy the prompt from
-    # an engine that lacks it, and reads it only after that has failed.
+def test_restarted_engine_is_no_copy_source():
+    # An engine restarts under its name with an empty cache.  A session whose prompt it
+    # held continues at another engine, which would be told to copy the prompt from one
+    # that lacks it, and would compute it only after that has failed.
     async def act():
         async with EdgeFleet() as fleet:
             await fleet.put_manifest(1, CHAT, engine=ENGINE)
@@ -82,8 +82,8 @@
             await ask(router, "/chat/a", "id-1", X_Prompt_Prefix=PROMPT)
             (first,) = [worker for worker in fleet.workers if worker.requests]
             session = next(iter(router.placer.index.list_newest(1, router.clock())))[0]
-            anew = first.describe("desk", models=[{"name": "m"}], born=2000)
-            await fleet.store.write("servers", first.name, anew)
+            restarted = first.describe("desk", models=[{"name": "m"}], born=2000)
+            await fleet.store.write("servers", first.name, restarted)
             await fleet.wait(
                 lambda: not router.placer.index.holders(session, router.clock())
             )
--- a/tests/test_lapses.py
+++ b/tests/test_lapses.py
@@ -1,14 +1,14 @@
 from tamarackrill.decisions.lapses import EXPIRY_GRACE_S, ExpiryGrace
 
 
-def test_removal_in_calm_is_the_end():
+def test_removal_without_an_outage_takes_effect_at_once():
     lapses = ExpiryGrace()
     lapses.observe_store(False, 0.0)
     assert not lapses.observe_removed("a", 10.0)
 
 
-def test_entries_that_lapse_during_an_outage_are_held():
-    # Heartbeats fail while the store is away, and all entries lapse.  A router that
+def test_entries_that_expire_during_an_outage_are_kept():
+    # Heartbeats fail while the store is down, and all entries expire.  A router that
     # dropped them would refuse every client until they are written again.
     lapses = ExpiryGrace()
     lapses.observe_store(True, 0.0)
@@ -19,17 +19,17 @@
     assert lapses.expire(100.0) == []
 
 
-def test_router_that_is_turned_away_does_not_hold_an_entry_for_ever():
-    # The store turns one router away and serves the others.  A worker ends, and the
-    # router hears of it from a peer.  Were it to hold the entry until the store answers
-    # it again, it would send work to a worker that is gone for all that time.
+def test_router_refused_by_the_store_does_not_keep_an_entry_for_ever():
+    # The store refuses one router and serves the others.  A worker ends, and the router
+    # learns of it from a peer.  If it kept the entry until the store answers it again,
+    # it would send work to the ended worker for all that time.
     lapses = ExpiryGrace()
     lapses.observe_store(True, 0.0)
     assert lapses.observe_removed("a", 5.0)
     assert lapses.expire(5.0 + EXPIRY_GRACE_S) == ["a"]
 
 
-def test_list_after_an_outage_that_misses_entries_is_no_news_of_their_end():
+def test_list_right_after_an_outage_removes_no_missing_entries():
     lapses = ExpiryGrace()
     lapses.observe_store(True, 0.0)
     lapses.observe_store(False, 5.0)
@@ -38,7 +38,7 @@
     assert lapses.expire(60.0) == []
 
 
-def test_removal_long_after_an_outage_is_the_end():
+def test_removal_long_after_an_outage_takes_effect_at_once():
     lapses = ExpiryGrace()
     lapses.observe_store(True, 0.0)
     lapses.observe_store(False, 5.0)
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,9 +6,9 @@
 
 
 @pytest.mark.parametrize("source", SOURCES)
-def test_any_source_stops_new_work_and_late_ones_do_not_undo_it(source):
-    # An endpoint is drained, and one of three sources says so first.  Were another,
-    # later one believed, callers would be sent to it until it is taken away.
+def test_any_source_stops_new_work_and_lagging_ones_do_not_undo_it(source):
+    # An endpoint is drained, and one of three sources reports it first.  If a lagging
+    # source overrode it, requests would be sent there until the endpoint is removed.
     leaving = LeavingEndpoints()
     assert leaving.observe(LeavingReport("e", source, True))
     for other in SOURCES:
@@ -19,9 +19,9 @@
     assert not leaving.is_leaving("e")
 
 
-def test_new_start_is_not_held_by_news_of_the_one_before():
-    # The endpoint has restarted, and late news of its end arrives.  Believed, it would
-    # stay idle while the callers of its pool queue for the rest.
+def test_late_report_on_the_previous_process_is_ignored():
+    # The endpoint has restarted, and a late report on its previous process arrives.  If
+    # it counted, the endpoint would stay idle while its pool's callers are queued.
     leaving = LeavingEndpoints()
     leaving.observe(LeavingReport("e", "endpoint", True, incarnation=1))
     assert leaving.observe(LeavingReport("e", "endpoint", False, incarnation=2))
@@ -29,7 +29,7 @@
     assert not leaving.is_leaving("e")
 
 
-def test_removed_endpoint_leaves_no_trace():
+def test_removed_endpoint_is_forgotten():
     leaving = LeavingEndpoints()
     leaving.observe(LeavingReport("e", "vm_list", True, incarnation=5))
     leaving.remove("e")
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -38,14 +38,14 @@
         ("", None),
     ],
 )
-def test_longest_prefix_is_taken(path, found):
+def test_longest_prefix_wins(path, found):
     table = make_table(make_route("/a/"), make_route("/a/b/"))
     route = table.find_route("a.example", path)
     assert (route and route.path_prefix) == found
 
 
 @pytest.mark.parametrize("host", ["a.example", "A.Example", "a.example:8080"])
-def test_host_is_found_in_any_case_and_with_a_port(host):
+def test_host_matches_in_any_case_and_with_a_port(host):
     assert make_table(make_route("/a/")).find_route(host, "/a/x") is not None
 
 
@@ -66,14 +66,14 @@
 
 
 def test_split_is_kept_within_two_per_cent():
-    # An operator moves a tenth of a route to a new service.  Were the split not kept,
-    # the new service would get all of the route's requests on its first day.
+    # An operator moves a tenth of a route to a new service.  A wrong split could send
+    # it all of the route's requests on its first day.
     shares = (ServiceShare("old", 90.0), ServiceShare("new", 10.0))
     found = [choose_service(shares, f"request-{n}") for n in range(10_000)]
     assert 0.08 < found.count("new") / len(found) < 0.12
 
 
-def test_service_of_no_weight_gets_nothing():
+def test_service_with_weight_zero_gets_no_requests():
     shares = (ServiceShare("old", 0.0), ServiceShare("new", 1.0))
     assert {choose_service(shares, str(n)) for n in range(100)} == {"new"}
     assert choose_service((ServiceShare("old", 0.0),), "x") is None
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -19,7 +19,7 @@
 from tamarackrill.testing.gossip import GossipNetwork
 
 ROUTERS = 24
-ONE = "vm-0005"
+TARGET = "vm-0005"
 TICKS_MAX = 120
 
 
@@ -41,34 +41,34 @@
 
 
 def test_killed_router_is_removed_everywhere_though_the_vm_list_has_it(network):
-    # A VM fails and the platform's list shows it for minutes more.  Chats whose home
-    # it was would be forwarded to it, and each would wait for a timeout.
-    network.kill(ONE)
-    network.run_until(lambda: is_gone(network, ONE), TICKS_MAX)
+    # A VM fails but stays on the platform's list for minutes.  The chats assigned to it
+    # would still be forwarded there, and each would wait for a timeout.
+    network.kill(TARGET)
+    network.run_until(lambda: is_gone(network, TARGET), TICKS_MAX)
     network.run_until(network.agree, TICKS_MAX)
 
 
-def test_vm_list_that_lags_removes_no_router_that_is_heard(network):
-    # The platform's list comes from an old copy and lacks most routers.  Were it
-    # believed, their chats would all move at once and lose their caches.
+def test_stale_vm_list_removes_no_reachable_router(network):
+    # The platform's list comes from a stale copy and lacks most routers.  Removing them
+    # would move all their chats at once and lose their caches.
     for state in network.states.values():
-        state.update_vm_list([Vm(ONE, ONE, "zone-2", peer_address=ONE)])
+        state.update_vm_list([Vm(TARGET, TARGET, "zone-2", peer_address=TARGET)])
     assert network.agree()
     network.run(20)
     assert network.agree()
 
 
 def test_vm_listed_as_leaving_gets_no_new_work(network):
-    # The platform has told that a VM will go, and its router doesn't know yet.  New
-    # chats given to it would be cut off or moved within the minute.
-    leaving = Vm(ONE, ONE, "zone-2", "leaving", ONE)
+    # The platform announces that a VM will go before its router knows.  New chats
+    # assigned to it would be cut off or moved within the minute.
+    leaving = Vm(TARGET, TARGET, "zone-2", "leaving", TARGET)
     network.states["vm-0000"].update_vm_list([leaving])
-    assert ONE not in names_seen(network, "vm-0000")
+    assert TARGET not in names_seen(network, "vm-0000")
 
 
-def test_suspect_that_runs_refutes_before_it_is_removed():
-    # The network loses one message in twenty, and pings of routers that run are missed
-    # all the time.  Were each removed, chats would change their home every minute.
+def test_healthy_suspect_refutes_before_it_is_removed():
+    # The network loses one message in twenty, so healthy routers often miss pings.  If
+    # they were removed, chats would move to other routers every minute.
     network = GossipNetwork(1, loss=0.05)
     network.start_many(ROUTERS, 3)
     network.run_until(network.agree, TICKS_MAX)
@@ -79,39 +79,41 @@
     assert MemberState.DEAD not in states
 
 
-def test_leaving_router_gets_no_new_work_and_is_not_held_for_dead(network):
-    # A router is told to stop, finishes what it has and ends.  Had it not announced
-    # that, the others would send it chats until its pings were missed.
-    state = network.states[ONE]
-    network.act(ONE, state.announce(MemberState.LEAVING, network.pick))
-    others = [name for name in network.states if name != ONE]
+def test_leaving_router_gets_no_new_work_and_is_not_suspected(network):
+    # A router is told to stop, finishes its requests and ends.  Without its
+    # announcement the others would send it chats until its pings were missed.
+    state = network.states[TARGET]
+    network.act(TARGET, state.announce(MemberState.LEAVING, network.pick))
+    others = [name for name in network.states if name != TARGET]
     network.run_until(
-        lambda: all(ONE not in names_seen(network, name) for name in others), 10
+        lambda: all(TARGET not in names_seen(network, name) for name in others), 10
     )
-    assert set(network.list_seen(ONE).values()) == {MemberState.LEAVING}
-    network.act(ONE, state.announce(MemberState.LEFT, network.pick))
-    network.kill(ONE)
-    network.run_until(lambda: is_gone(network, ONE), TICKS_MAX)
+    assert set(network.list_seen(TARGET).values()) == {MemberState.LEAVING}
+    network.act(TARGET, state.announce(MemberState.LEFT, network.pick))
+    network.kill(TARGET)
+    network.run_until(lambda: is_gone(network, TARGET), TICKS_MAX)
     network.run(20)
     states = {change.record.state for change in network.changes}
     assert not states & {MemberState.SUSPECT, MemberState.DEAD}
 
 
 def test_frozen_router_rejoins_and_suspects_nobody(network):
-    # A VM is paused until all others have removed its router.  When it runs again, all
-    # its timers are overdue; were they to count, it would remove the whole fleet from
-    # its own view, and the fleet would not take it back.
-    network.freeze(ONE)
-    network.run_until(lambda: is_gone(network, ONE), TICKS_MAX)
+    # A VM is paused until all others have removed its router.  When it resumes, all its
+    # timers are overdue; if they fired, it would remove the whole fleet from its view,
+    # and the fleet would not accept it again.
+    network.freeze(TARGET)
+    network.run_until(lambda: is_gone(network, TARGET), TICKS_MAX)
     network.changes.clear()
-    network.wake(ONE)
+    network.wake(TARGET)
     network.run_until(network.agree, TICKS_MAX)
-    blamed = {c.record.name for c in network.changes if c.record.state.name != "ALIVE"}
-    assert not blamed - {ONE}
+    suspected = {
+        c.record.name for c in network.changes if c.record.state.name != "ALIVE"
+    }
+    assert not suspected - {TARGET}
 
 
-def test_freeze_is_noticed_and_pending_pings_are_dropped(network):
-    state = network.states[ONE]
+def test_freeze_is_detected_and_pending_pings_are_dropped(network):
+    state = network.states[TARGET]
     incarnation = state.own.incarnation
     state.tick(network.now_s, network.pick)
     later_s = network.now_s + FREEZE_THRESHOLD_S + SUSPICION_TIMEOUT_S
@@ -121,10 +123,10 @@
     assert state.own.incarnation == incarnation + 1
 
 
-def test_cut_zone_goes_on_and_views_agree_after_the_cut(network):
-    # The link between a zone and the others is cut for longer than suspicion lasts.
-    # Each side must go on with its own routers, and must not hold the other for dead
-    # for ever: chats would keep two homes.
+def test_partitioned_zone_keeps_working_and_views_converge_afterwards(network):
+    # A zone is partitioned from the others for longer than the suspicion timeout.  Each
+    # side must go on with its own routers, and must not treat the other as dead for
+    # good: chats would remain assigned to two routers.
     network.cut_zones = {"zone-1"}
     inside = {n for n, s in network.states.items() if s.own.zone == "zone-1"}
 
@@ -142,36 +144,36 @@
 
 
 def test_router_of_the_same_name_replaces_its_predecessor(network):
-    # A VM is replaced by one of the same name before its loss was noticed; messages of
-    # the old process that arrive late must not count as those of the new one.
-    old = network.states[ONE]
+    # A VM is replaced by one of the same name before its failure is detected.  Late
+    # messages of the old process must not count as those of the new one.
+    old = network.states[TARGET]
     late = old.tick(network.now_s, network.pick)
-    network.kill(ONE)
-    new = network.start(ONE, "zone-2", session_ms=old.own.incarnation + 60_000)
+    network.kill(TARGET)
+    new = network.start(TARGET, "zone-2", session_ms=old.own.incarnation + 60_000)
     network.publish_vms()
     network.run_until(network.agree, TICKS_MAX)
     observer = network.states["vm-0000"]
     message = next(action.message for action in late if isinstance(action, Send))
-    assert observer.receive(message, network.now_s) == [StaleMessageDropped(ONE)]
-    held = next(r for r in observer.list_members() if r.name == ONE)
+    assert observer.receive(message, network.now_s) == [StaleMessageDropped(TARGET)]
+    held = next(r for r in observer.list_members() if r.name == TARGET)
     assert held.incarnation == new.own.incarnation
 
 
 def test_replayed_message_is_dropped(network):
-    # A stranger records a message of a router that leaves and sends it again later.
-    sender, receiver = network.states[ONE], network.states["vm-0000"]
+    # An attacker records a message of a router that leaves and replays it later.
+    sender, receiver = network.states[TARGET], network.states["vm-0000"]
     message = next(
         action.message
         for action in sender.announce(MemberState.LEAVING, network.pick)
         if isinstance(action, Send)
     )
     receiver.receive(message, network.now_s)
-    assert receiver.receive(message, network.now_s) == [StaleMessageDropped(ONE)]
+    assert receiver.receive(message, network.now_s) == [StaleMessageDropped(TARGET)]
 
 
 def test_entries_and_digests_reach_peers_within_the_budget(network):
-    # Other modules hand over more than fits; gossip must still carry membership, and a
-    # router that sends more than its share takes the network from callers.
+    # Other modules supply more entries than fit.  Gossip must still carry membership,
+    # and must stay within its byte budget, which protects the callers' bandwidth.
     digest = ConfigurationDigest("contract", 7, 7, 1 << 63)
     heard = []
     for state in network.states.values():
@@ -199,12 +201,11 @@
 
 
 def test_suspect_that_left_the_vm_list_is_removed_at_once(network):
-    # A VM was replaced without warning; the platform has taken it off its list and its
-    # router misses its pings.  Waiting any longer only delays the chats whose home it
-    # was.
-    network.kill(ONE)
+    # A VM is replaced without warning: the platform has removed it from its list and
+    # its router misses pings.  Waiting any longer only delays the chats assigned to it.
+    network.kill(TARGET)
     network.publish_vms()
-    network.run_until(lambda: is_gone(network, ONE), TICKS_MAX)
+    network.run_until(lambda: is_gone(network, TARGET), TICKS_MAX)
     suspected, removed = (
         {c.seen_by: c.time_s for c in network.changes if c.record.state == state}
         for state in (MemberState.SUSPECT, MemberState.DEAD)
@@ -217,7 +218,7 @@
 
 
 def start_with_contacts(count):
-    """Start routers that know of three by their settings and nothing else."""
+    """Start routers that know only three contacts from their settings."""
     network = GossipNetwork(seed=1)
     names = [f"router-{number:03d}" for number in range(count)]
     digests = tuple(
@@ -232,9 +233,9 @@
 
 
 @pytest.mark.parametrize("count", [18, 76, 195])
-def test_fleet_that_starts_at_once_with_three_contacts_gets_to_know_itself(count):
-    # Guards against contacts whose budget is spent within a second, so that all others
-    # know these three and nobody else for good.
+def test_fleet_that_starts_at_once_with_three_contacts_discovers_all_members(count):
+    # The contacts' byte budgets are spent within a second.  Without introductions all
+    # others would know only these three for good.
     network = start_with_contacts(count)
     network.run(20)
     known = [len(state.live_members()) for state in network.states.values()]
@@ -242,7 +243,7 @@
 
 
 def test_bytes_of_a_start_stay_within_the_budget_of_a_minute():
-    # Guards against introductions that fill the links of the few contacts for long.
+    # Guards against introductions that overload the links of the few contacts.
     network = start_with_contacts(76)
     network.run(60)
     sent = sorted(network.sent_bytes.values())
--- a/tests/test_news_in_time.py
+++ b/tests/test_news_in_time.py
@@ -1,8 +1,8 @@
-"""A changed manifest is in force everywhere in time, however thin the links are.
+"""A changed manifest is in force everywhere in time, even over slow links.
 
-Zones of routers are played in virtual time over the pure modules that decide who asks
-the store, when, and how.  A read takes a time for each version in the answer, as over a
-thin link.
+Simulates zones of routers in virtual time over the pure modules that decide which
+router queries the store, when, and how.  A read takes a fixed time for each version in
+the answer, as over a slow link.
 """
 
 import math
@@ -23,8 +23,8 @@
 TELL_EVERY_S = 0.25
 CALL_S = 0.02
 PAUSE_S = 0.1
-# A manifest of 281 kB over a link of 10 Mbit/s that callers use as well.
-THIN_READ_S = 0.55
+# A manifest of 281 kB over a link of 10 Mbit/s that carries calls as well.
+SLOW_READ_S = 0.55
 ROUTERS = [f"router-{number}" for number in range(4)]
 
 
@@ -43,7 +43,7 @@
 
 
 class Router:
-    """One router: what it holds, and the call to the store that it waits for."""
+    """One router: the version that it holds, and its pending call to the store."""
 
     def __init__(self, name, read_s, now_s, settled_s):
         self.name = name
@@ -63,7 +63,7 @@
         self.held_since_s = {}
         self.sequence = 0
         self.free_s = now_s
-        self.has_rested = False
+        self.has_waited = False
         self.asking_until_s = math.inf
         self.is_watching = False
         self.answer = None
@@ -79,13 +79,13 @@
     def _ask(self, now_s):
         own = make_digest(self.version)
         must_list = self.version == 0 or self.reading.must_list(own)
-        rest_s = self.watching.find_wait_s(KIND, now_s)
-        if not must_list and rest_s > 0.0:
-            self.has_rested = True
+        wait_limit_s = self.watching.find_wait_s(KIND, now_s)
+        if not must_list and wait_limit_s > 0.0:
+            self.has_waited = True
             return
         watch_s = self.watching.find_propagation_times(KIND).watch_s
-        has_rested, self.has_rested = self.has_rested, False
-        wait_s = 0.0 if must_list or has_rested else watch_s
+        has_waited, self.has_waited = self.has_waited, False
+        wait_s = 0.0 if must_list or has_waited else watch_s
         self.is_watching = not must_list
         self.asking_until_s = now_s + CALL_S + wait_s
 
@@ -129,16 +129,17 @@
             self.reading.observe_peer(evidence.digest)
 
     def find_delay_s(self, version, acked_s):
-        """Return when a version or a later one was in force, from its acknowledgement.
+        """Return the delay from a version's acknowledgement until it was in force.
 
-        A router that was started later has as long from its start.
+        A later version counts too.  For a router that was started later, the delay
+        counts from its start.
         """
         held_s = [s for v, s in self.held_since_s.items() if v >= version]
         return min(held_s, default=math.inf) - max(acked_s, self.started_s)
 
 
-def play(store, read_s, until_s, killed_s=math.inf, killed=(), down_s=0.6):
-    """Play a zone; routers of `killed` end at `killed_s` and start again."""
+def simulate(store, read_s, until_s, killed_s=math.inf, killed=(), down_s=0.6):
+    """Simulate a zone; routers of `killed` end at `killed_s` and restart."""
     routers = {name: Router(name, read_s, 0.0, 0.0) for name in ROUTERS}
     told_s = 0.0
     now_s = 0.0
@@ -176,54 +177,51 @@
 
 
 @pytest.mark.parametrize("killed_s", [10.0, 10.3, 10.6, 11.0, 11.4])
-@pytest.mark.parametrize("read_s", [0.01, 0.3, THIN_READ_S])
-def test_routers_hear_of_changes_in_time_after_their_watcher_is_killed(
-    killed_s, read_s
-):
-    # Operators change the manifest each second or so, and the router that watches the
-    # store for its zone is killed.  The others went on believing its last word for most
-    # of the time in which a change has to be in force, and then had to read two or
-    # three long manifests over a thin link.  Users got 404 on routes that had been
-    # added four seconds before, and keys that were taken away still worked.
+@pytest.mark.parametrize("read_s", [0.01, 0.3, SLOW_READ_S])
+def test_routers_apply_changes_in_time_after_their_watcher_is_killed(killed_s, read_s):
+    # Operators change the manifest about once a second, and the zone's watcher is
+    # killed.  If the others accepted its last evidence for most of the time in which a
+    # change has to be in force, they would then have to read two or three long
+    # manifests over a slow link: 404 on routes added four seconds before, and revoked
+    # keys accepted.
     store = Store([0.0, 5.0] + [10.0 + 1.15 * number for number in range(5)])
-    routers = play(store, read_s, 22.0, killed_s, {find_watcher()}, down_s=30.0)
+    routers = simulate(store, read_s, 22.0, killed_s, {find_watcher()}, down_s=30.0)
     del routers[find_watcher()]
     check_in_time(routers, store, 22.0)
 
 
 @pytest.mark.parametrize("killed_s", [10.0, 10.3, 10.6, 11.0, 11.4])
 @pytest.mark.parametrize("killed", [ROUTERS, ROUTERS[1:], ROUTERS[:3]])
-def test_zone_that_starts_anew_hears_of_changes_in_time(killed_s, killed):
-    # Most processes of a zone are killed and started again while operators change the
-    # manifest.  None of the new ones watched the store for its first seconds, each
-    # relied on what the others had last asked, and all asked together after two
-    # seconds.  Users got 404 on new routes for almost four seconds.
+def test_restarted_zone_applies_changes_in_time(killed_s, killed):
+    # Most processes of a zone are killed and restarted while operators change the
+    # manifest.  If no new process watched the store in its first seconds, all would
+    # rely on the others' last query and query together after two seconds: 404 on new
+    # routes for almost four seconds.
     store = Store([0.0, 5.0] + [10.0 + 1.15 * number for number in range(7)])
-    routers = play(store, THIN_READ_S, 24.0, killed_s, killed)
+    routers = simulate(store, SLOW_READ_S, 24.0, killed_s, killed)
     check_in_time(routers, store, 24.0)
 
 
 def test_versions_that_come_faster_than_they_can_be_read_do_not_pile_up():
-    # Operators change a long manifest ten times a second.  A router that reads each
-    # version over its thin link has read the third when the last was written long ago,
-    # and falls further behind with each answer.
+    # Operators change a long manifest ten times a second.  A router that reads every
+    # version over its slow link falls further behind with each answer.
     store = Store([0.0, 5.0] + [10.0 + 0.1 * number for number in range(20)])
-    routers = play(store, 0.2, 20.0)
+    routers = simulate(store, 0.2, 20.0)
     check_in_time(routers, store, 20.0)
 
 
 @pytest.mark.parametrize("propagation_max_s", [1.0, 2.0, 3.0, 12.0])
 @pytest.mark.parametrize("read_s", [0.0, 0.02, 0.2, 0.5])
-def test_what_a_read_takes_is_left_when_trust_ends(propagation_max_s, read_s):
-    shares = split_propagation_time(propagation_max_s, read_s)
-    assert shares.watch_s > 0.0
-    assert shares.evidence_max_age_s <= EVIDENCE_AGE_MAX_SHARE * propagation_max_s
+def test_time_for_a_read_remains_when_evidence_expires(propagation_max_s, read_s):
+    times = split_propagation_time(propagation_max_s, read_s)
+    assert times.watch_s > 0.0
+    assert times.evidence_max_age_s <= EVIDENCE_AGE_MAX_SHARE * propagation_max_s
     if read_s <= 0.2 * propagation_max_s:
-        assert shares.evidence_max_age_s + read_s < propagation_max_s
+        assert times.evidence_max_age_s + read_s < propagation_max_s
 
 
-def test_short_manifests_are_waited_for_as_long_as_ever():
-    # Each call to the store is paid for; time is set aside only for what takes time.
+def test_short_manifests_do_not_shorten_the_waits():
+    # Calls to the store are costly: shorter waits are used only where reads are slow.
     assert (
         split_propagation_time(2.0, 0.02).evidence_max_age_s
         == EVIDENCE_AGE_MAX_SHARE * 2.0
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""Who of a zone asks the store: kills, cuts, freezes, lost and late datagrams."""
+"""Which routers query the store under kills, partitions, freezes and message loss."""
 
 import pytest
 from hypothesis import settings
@@ -40,13 +40,13 @@
     assert sum(router.is_watcher for router in routers.values()) == 1
 
 
-def test_router_that_knows_nobody_watches():
+def test_router_without_peers_watches():
     assert WatchPolicy("alone", "zone", TRUST_S).find_wait_s(KIND, 0.0) == 0.0
 
 
-def test_new_router_asks_now_and_then_and_does_not_watch():
-    # A fleet of sixty starts at once, and every endpoint writes its entry.  Were each
-    # router to watch until it knows its zone, each entry would cost sixty calls.
+def test_new_router_polls_and_does_not_watch():
+    # A fleet of sixty starts at once, and every endpoint writes its entry.  If each
+    # router watched until it knows its zone, each entry would cost sixty calls.
     new = WatchPolicy("a", "zone", TRUST_S, settled_s=7.0)
     assert new.find_wait_s(KIND, 0.0) == 0.0
     new.observe_answer(KIND, 0.0)
@@ -56,50 +56,50 @@
     assert new.find_wait_s(KIND, 7.0) == 0.0
 
 
-def test_fresh_evidence_of_another_is_enough_and_old_is_not():
-    # The watcher of a zone is killed.  If the others went on believing what it said
-    # last, a key that is taken away meanwhile would be served for ever.
+def test_only_recent_evidence_of_another_router_is_accepted():
+    # The watcher of a zone is killed.  If the others accepted its last evidence without
+    # limit, a key that is revoked meanwhile would be accepted for ever.
     routers = make_zone()
     follower = next(r for r in routers.values() if not r.is_watcher)
     follower.observe_bulletin(make_bulletin("router-x", 1, age_s=0.4), 10.0)
-    rest_s = follower.find_wait_s(KIND, 10.0)
-    assert TRUST_S - 0.4 <= rest_s <= TRUST_S - 0.4 + STAGGER_MAX_S
-    assert follower.find_wait_s(KIND, 10.0 + rest_s) == 0.0
+    wait_s = follower.find_wait_s(KIND, 10.0)
+    assert TRUST_S - 0.4 <= wait_s <= TRUST_S - 0.4 + STAGGER_MAX_S
+    assert follower.find_wait_s(KIND, 10.0 + wait_s) == 0.0
 
 
-def test_watcher_whose_own_evidence_is_old_tells_nothing():
-    # The store has turned the watcher away.  Were its bulletins to go on, nobody in the
-    # zone would notice that the store is to be asked by someone else.
+def test_watcher_with_expired_evidence_sends_none():
+    # The store refuses the watcher.  If it kept sending bulletins, no other router of
+    # the zone would notice that it has to query the store itself.
     watcher = WatchPolicy("a", "zone", TRUST_S)
     watcher.observe_answer(KIND, 0.0)
     assert len(watcher.make_evidence([make_digest()], 1.0)) == 1
     assert watcher.make_evidence([make_digest()], TRUST_S) == ()
 
 
-def test_evidence_of_others_is_not_passed_on():
-    # Two routers that believe each other's word would keep it fresh without the store.
+def test_evidence_of_others_is_not_presented_as_own():
+    # Two routers that renewed each other's evidence would never query the store.
     follower = WatchPolicy("a", "zone", TRUST_S)
     follower.observe_bulletin(make_bulletin("b", 1), 0.0)
     assert follower.make_evidence([make_digest()], 0.0) == ()
 
 
-def test_evidence_is_passed_on_by_who_holds_more_than_it_tells_of():
-    # Guards against a head that has pulled a change and tells its zone of it only at
-    # the store's next answer.
+def test_evidence_is_relayed_by_a_router_that_holds_newer_objects():
+    # Guards against a head that has pulled a change but tells its zone only after the
+    # store's next answer.
     head = WatchPolicy("a", "zone", TRUST_S)
     head.observe_bulletin(make_bulletin("b", 1), 0.0)
     newer = ConfigurationDigest(KIND, 2, 2, 2)
-    (passed_on,) = head.make_relayed_evidence([newer], 0.0)
-    assert (passed_on.digest, passed_on.origin, passed_on.hops) == (newer, "b", 1)
+    (relayed,) = head.make_relayed_evidence([newer], 0.0)
+    assert (relayed.digest, relayed.origin, relayed.hops) == (newer, "b", 1)
 
 
-def test_evidence_is_not_passed_on_by_who_lacks_what_it_tells_of():
+def test_evidence_is_not_relayed_by_a_router_that_lacks_its_objects():
     head = WatchPolicy("a", "zone", TRUST_S)
     head.observe_bulletin(make_bulletin("b", 1), 0.0)
     assert head.make_relayed_evidence([ConfigurationDigest(KIND, 0, 0, 7)], 0.0) == ()
 
 
-def test_late_and_double_bulletins_are_no_news():
+def test_late_and_duplicate_bulletins_are_ignored():
     follower = WatchPolicy("a", "zone", TRUST_S)
     assert follower.observe_bulletin(make_bulletin("b", 2), 0.0)
     assert not follower.observe_bulletin(make_bulletin("b", 2), 5.0)
@@ -107,7 +107,7 @@
     assert follower.observe_bulletin(make_bulletin("b", 1, session=2), 5.0)
 
 
-def test_followers_do_not_all_ask_at_once():
+def test_followers_do_not_all_query_at_once():
     routers = make_zone([f"r{number}" for number in range(15)])
     followers = [r for r in routers.values() if not r.is_watcher]
     for follower in followers:
@@ -124,16 +124,16 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"x" * 40, b"\0" * 200])
-def test_strangers_bytes_are_no_bulletin(data):
+def test_foreign_bytes_are_no_bulletin(data):
     assert decode_bulletin(data, KEYS) is None
 
 
 class ZoneMachine(RuleBasedStateMachine):
     """Routers that are killed, frozen and cut from the store, and lossy datagrams.
 
-    The store answers whoever asks and reaches it.  What must hold: a router that runs
-    and reaches the store never goes for longer than trust and stagger without either
-    asking it or having heard from one that has.
+    The store answers every router that reaches it.  Invariant: a router that runs and
+    reaches the store never goes for longer than the evidence's maximum age plus stagger
+    without querying it or receiving evidence from a router that has.
     """
 
     def __init__(self):
