--- a/src/tamarackrill/decisions/watching.py
+++ b/src/tamarackrill/decisions/watching.py
@@ -166,7 +166,7 @@
         self._own = own
         self._zone = zone
         self._trust_s = evidence_max_age_s
-        self._news_max_s = propagation_max_s
+        self._propagation_max_s = propagation_max_s
         self._watched_at_once = kinds_watched_at_start
         # Ranks in the fleet, among the heads of zones and in its zone.
         self._fleet_rank = 0
@@ -232,7 +232,9 @@
 
     def find_propagation_times(self, kind: str) -> PropagationTimes:
         """Return how long to wait for changes of a kind."""
-        shares = split_propagation_time(self._news_max_s, self._reads[kind].longest_s)
+        shares = split_propagation_time(
+            self._propagation_max_s, self._reads[kind].longest_s
+        )
         return shares._replace(
             evidence_max_age_s=min(self._trust_s, shares.evidence_max_age_s)
         )
@@ -314,8 +316,8 @@
             Longest such delay.
         """
         if self.is_watcher or self.is_head:
-            return min(self._news_max_s, usual_s * (1 + self._head_rank))
-        return max(retry_max_s, min(self._news_max_s, FOLLOWER_RETRY_S))
+            return min(self._propagation_max_s, usual_s * (1 + self._head_rank))
+        return max(retry_max_s, min(self._propagation_max_s, FOLLOWER_RETRY_S))
 
     def must_ask_peers(self, kind: str, now_s: float) -> bool:
         """Return whether to ask other routers for evidence."""
--- a/src/tamarackrill/platform/settings_file.py
+++ b/src/tamarackrill/platform/settings_file.py
@@ -39,7 +39,7 @@
         ``host:port`` of the platform's object store.
     grace_s : float
         From SIGTERM to SIGKILL.
-    propagation_max_s : float
+    news_max_s : float
         Time in which a change of the manifest or of an endpoint has to be in force.
     load_cap : float
         Multiple of the mean load that no endpoint may exceed.
@@ -60,7 +60,7 @@
     seeds: tuple[str, ...]
     store_address: str
     grace_s: float
-    propagation_max_s: float
+    news_max_s: float
     load_cap: float
     retry_budget: BudgetTerms
     link_bytes_per_s: float = DEFAULT_LINK_MBPS * BYTES_PER_MBIT
@@ -172,7 +172,7 @@
         seeds=tuple(f"{host}:{first}" for host in seeds),
         store_address=reader.read_address("platform.address"),
         grace_s=reader.read("bounds.grace_s", float),
-        propagation_max_s=_read_propagation_max_s(reader),
+        news_max_s=_read_news_max_s(reader),
         load_cap=reader.read("bounds.cap_x", float, 2.0),
         retry_budget=BudgetTerms(
             reader.read("bounds.retry_budget_ratio", float, 0.2),
@@ -185,7 +185,7 @@
     )
 
 
-def _read_propagation_max_s(reader: _Reader) -> float:
+def _read_news_max_s(reader: _Reader) -> float:
     manifest_ms = reader.read("bounds.config_ms", float, 2000.0)
     # Counted from when a worker says that it leaves, not from its end.
     leaving_ms = reader.read("bounds.drain_ms", float, 2000.0)
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -258,15 +258,15 @@
         self._servers.append(server)
 
     def _make_configurer(self) -> None:
-        propagation_max_s = self.settings.propagation_max_s
+        news_max_s = self.settings.news_max_s
         platform = PlatformClient(
             self.settings.store_address,
             self.settings.zone,
             self._store_client,
             STORE_FORM,
             StoreTiming(
-                call_s=min(STORE_CALL_MAX_S, STORE_CALL_SHARE * propagation_max_s),
-                watch_wait_s=WATCH_MAX_SHARE * propagation_max_s,
+                call_s=min(STORE_CALL_MAX_S, STORE_CALL_SHARE * news_max_s),
+                watch_wait_s=WATCH_MAX_SHARE * news_max_s,
             ),
         )
         self.configurer = Configurer(
@@ -288,7 +288,7 @@
         if self.configurer.has_news(MANIFEST_KIND):
             return True
         ages_s = self.store_news.find_ages_s(self.clock())
-        return ages_s.get(MANIFEST_KIND, math.inf) > self.settings.propagation_max_s
+        return ages_s.get(MANIFEST_KIND, math.inf) > self.settings.news_max_s
 
     def _note_store_call(self, call: StoreCall) -> None:
         self.metrics.record_store_call(
@@ -356,9 +356,9 @@
             WatchPolicy(
                 self.settings.name,
                 self.settings.zone,
-                EVIDENCE_AGE_MAX_SHARE * self.settings.propagation_max_s,
+                EVIDENCE_AGE_MAX_SHARE * self.settings.news_max_s,
                 self.clock() + SETTLE_S,
-                self.settings.propagation_max_s,
+                self.settings.news_max_s,
                 (MANIFEST_KIND,),
             ),
             self.members,
--- a/src/tamarackrill/testing/edge.py
+++ b/src/tamarackrill/testing/edge.py
@@ -153,7 +153,7 @@
             seeds=seeds,
             store_address=self.store_address,
             grace_s=4.0,
-            propagation_max_s=2.0,
+            news_max_s=2.0,
             load_cap=2.0,
             retry_budget=BUDGET,
         )
