--- a/src/tamarackrill/decisions/pools.py
+++ b/src/tamarackrill/decisions/pools.py
@@ -68,7 +68,7 @@
         return subpool
 
     @cached_property
-    def _members(self) -> hashing.Members:
+    def _members(self) -> hashing.HashedMembers:
         return hashing.hash_members(self.by_name)
 
     @cached_property
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 
 from tamarackrill.decisions import configuration
 from tamarackrill.decisions.configuration import (
-    Changes,
+    ChangeSet,
     ConfigurationStore,
     ObjectVersion,
     needs_changes,
@@ -17,7 +17,7 @@
 
 
 class History:
-    """All writes to the platform, so that any stale view of it can be read."""
+    """All writes to the platform, so that it can be read as of any revision."""
 
     def __init__(self, events=()):
         self.events = list(events)
@@ -32,10 +32,12 @@
     def list_at(self, revision):
         state = self.state_at(revision).values()
         objects = tuple(e for e in state if e.value is not None)
-        return Changes(KIND, objects, revision, whole=True)
+        return ChangeSet(KIND, objects, revision, is_snapshot=True)
 
     def watch(self, since, revision):
-        return Changes(KIND, tuple(self.events[since:revision]), revision, whole=False)
+        return ChangeSet(
+            KIND, tuple(self.events[since:revision]), revision, is_snapshot=False
+        )
 
     def first_deletion_after(self, name, version):
         later = self.events[version:]
@@ -44,7 +46,7 @@
 
 
 def check_not_older(history, store, name, version):
-    """Return the version in force; fail if it lies before `version`."""
+    """Return the version in force; fail if it is older than `version`."""
     held = store.get(KIND, name)
     if held is not None:
         assert held.version >= version, f"{name} went back"
@@ -57,10 +59,9 @@
 
 
 class NeverReverts(RuleBasedStateMachine):
-    # Two routers hear of operators' changes by watch, by lists read from a platform
-    # that answers from an old copy, and from one another; either may restart.  Were
-    # one to go back, a customer would be served by limits that its operator has
-    # withdrawn, at some routers and not at others.
+    # Two routers receive operators' changes by watch, by lists from a platform that
+    # answers from a stale copy, and from one another; either may restart.  If one
+    # reverted, some routers would enforce limits that the operator has withdrawn.
     def __init__(self):
         super().__init__()
         self.history = History()
@@ -81,24 +82,24 @@
     @rule(index=index, share=share)
     def list_from_platform(self, index, share):
         changes = self.history.list_at(self.revision(share))
-        self.stores[index].take_changes(changes)
+        self.stores[index].apply_changes(changes)
 
     @rule(index=index, share=share)
     def watch_platform(self, index, share):
         since = self.stores[index].get_complete(KIND)
         revision = max(since, self.revision(share))
-        self.stores[index].take_changes(self.history.watch(since, revision))
+        self.stores[index].apply_changes(self.history.watch(since, revision))
 
     @rule(index=index, share=share)
     def late_copy_arrives(self, index, share):
         for event in self.history.events[self.revision(share) :][:2]:
-            self.stores[index].take(*event)
+            self.stores[index].apply_version(*event)
 
     @rule(index=index)
     def pull_from_peer(self, index):
         own, peer = self.stores[index], self.stores[1 - index]
         if needs_changes(own.digest(KIND), peer.digest(KIND)):
-            own.take_changes(peer.changes_since(KIND, own.get_complete(KIND)))
+            own.apply_changes(peer.changes_since(KIND, own.get_complete(KIND)))
 
     @rule(index=index)
     def restart(self, index):
@@ -117,7 +118,7 @@
     def teardown(self):
         latest = self.history.list_at(len(self.history.events))
         for store in self.stores:
-            store.take_changes(latest)
+            store.apply_changes(latest)
             assert {i.name: i for i in store.items(KIND)} == {
                 i.name: i for i in latest.objects
             }
@@ -133,18 +134,18 @@
 
 
 def test_every_order_of_few_messages_keeps_the_newest():
-    # A contract is written, changed, deleted and another written, and a router
-    # hears of it in any order, some of it twice, some of it never.  An operator who
-    # deleted a contract would see its key accepted again at some routers.
+    # A contract is written, changed and deleted, and another is written.  A router
+    # receives these in any order, some of them twice, some never.  Without versions
+    # some routers would accept the key of a deleted contract again.
     history = History()
     for name, weight in [("a", 1), ("a", 2), ("a", None), ("b", 3), ("b", None)]:
         history.write(name, weight and {"weight": weight})
-    messages = [Changes(KIND, (e,), 0, whole=False) for e in history.events]
+    messages = [ChangeSet(KIND, (e,), 0, is_snapshot=False) for e in history.events]
     messages += [history.list_at(revision) for revision in (1, 3, 5)]
     for order in itertools.permutations(messages, 5):
         store, shown = ConfigurationStore(), {"a": 0, "b": 0}
         for message in order:
-            store.take_changes(message)
+            store.apply_changes(message)
             complete = history.state_at(store.get_complete(KIND))
             for name in shown:
                 least = complete[name].version if name in complete else 0
@@ -153,81 +154,81 @@
 
 
 def test_deleted_object_stays_deleted_after_its_tombstone_is_dropped():
-    # A router was frozen for hours with a contract that has been deleted since.
-    # When it wakes it offers the contract to its peers, whose tombstone is long
-    # gone; the withdrawn key would work again.
+    # A router is frozen for hours and holds a contract that has been deleted since.
+    # When it resumes it offers the contract to its peers, which have dropped the
+    # tombstone; the revoked key would work again.
     history = History()
     for name in "abcd":
         history.write(name, {})
         history.write(name, None)
     store = ConfigurationStore()
-    store.take_changes(history.watch(0, 8))
+    store.apply_changes(history.watch(0, 8))
     assert len(store.changes_since(KIND, 7).objects) == 1
-    assert not store.take(*history.events[0])
+    assert not store.apply_version(*history.events[0])
     assert store.get(KIND, "a") is None
 
 
-def test_peer_that_was_away_past_the_tombstones_gets_the_whole():
-    # A router that was cut off longer than tombstones are kept asks for changes.
-    # Changes alone would leave it with contracts that no longer exist.
+def test_peer_away_for_longer_than_tombstones_are_kept_gets_the_full_list():
+    # A router that was partitioned for longer than tombstones are kept requests
+    # changes.  Changes alone would leave it with contracts that no longer exist.
     history = History()
     history.write("a", {})
     away, store = ConfigurationStore(), ConfigurationStore()
-    away.take_changes(history.list_at(1))
+    away.apply_changes(history.list_at(1))
     for name, value in [("a", None), ("b", {}), ("b", None), ("c", {})]:
         history.write(name, value)
-    store.take_changes(history.watch(0, 5))
+    store.apply_changes(history.watch(0, 5))
     assert needs_changes(away.digest(KIND), store.digest(KIND))
-    away.take_changes(store.changes_since(KIND, away.get_complete(KIND)))
+    away.apply_changes(store.changes_since(KIND, away.get_complete(KIND)))
     assert away.digest(KIND) == store.digest(KIND)
     assert [item.name for item in away.items(KIND)] == ["c"]
 
 
-def test_writes_of_other_kinds_make_no_router_ask():
-    # Claims move the platform's revision hundreds of times a second.  Were
-    # revisions compared, every router would ask its peers all the time.
+def test_writes_of_other_kinds_cause_no_requests_between_peers():
+    # Claims advance the platform's revision hundreds of times a second.  If revisions
+    # were compared, every router would request changes all the time.
     history = History()
     history.write("a", {})
     first, second = ConfigurationStore(), ConfigurationStore()
-    first.take_changes(history.list_at(1))
-    second.take_changes(history.list_at(1)._replace(complete=900))
+    first.apply_changes(history.list_at(1))
+    second.apply_changes(history.list_at(1)._replace(complete=900))
     assert not needs_changes(first.digest(KIND), second.digest(KIND))
 
 
 def test_peer_learns_of_a_deletion_that_a_list_does_not_name():
-    # One router heard of an object before it was deleted, the other read its first
-    # list afterwards and never knew it.  The first would keep the deleted contract
-    # for as long as the platform is out.
+    # One router received an object before it was deleted, the other read its first list
+    # afterwards and never knew it.  The first would keep the deleted contract for as
+    # long as the platform is unavailable.
     history = History()
     for value in [None, {}, None]:
         history.write("a", value)
     for heard_early in (False, True):
         store, peer = ConfigurationStore(), ConfigurationStore()
-        peer.take_changes(history.watch(0, 2))
+        peer.apply_changes(history.watch(0, 2))
         if heard_early:
-            store.take(*history.events[0])
-        store.take_changes(history.list_at(3))
-        peer.take_changes(store.changes_since(KIND, peer.get_complete(KIND)))
+            store.apply_version(*history.events[0])
+        store.apply_changes(history.list_at(3))
+        peer.apply_changes(store.changes_since(KIND, peer.get_complete(KIND)))
         assert peer.get(KIND, "a") is None
-        assert not store.take(*history.events[1])
+        assert not store.apply_version(*history.events[1])
 
 
-def test_router_that_holds_the_same_learns_that_nothing_is_missing():
-    # A router rests on a peer's evidence for longer than the platform keeps history.
-    # Asked from its old revision, the platform would send the whole list.
-    resting, asking = ConfigurationStore(), ConfigurationStore()
+def test_router_with_equal_objects_adopts_the_peers_complete_revision():
+    # A router relies on a peer's evidence for longer than the platform keeps history.
+    # Asked for changes since the old revision, the platform would send the full list.
+    passive, active = ConfigurationStore(), ConfigurationStore()
     item = ObjectVersion("contract", "a", 3, {"x": 1})
-    for store in (resting, asking):
-        store.take_changes(Changes("contract", (item,), 3, True))
-    asking.take_changes(Changes("contract", (), 900, False))
-    resting.adopt_complete(asking.digest("contract"))
-    assert resting.get_complete("contract") == 900
+    for store in (passive, active):
+        store.apply_changes(ChangeSet("contract", (item,), 3, True))
+    active.apply_changes(ChangeSet("contract", (), 900, False))
+    passive.adopt_complete_revision(active.digest("contract"))
+    assert passive.get_complete("contract") == 900
 
 
-def test_router_that_lacks_something_keeps_its_revision():
+def test_router_with_missing_objects_keeps_its_complete_revision():
     behind, ahead = ConfigurationStore(), ConfigurationStore()
-    ahead.take_changes(
-        Changes("contract", (ObjectVersion("contract", "a", 3, {"x": 1}),), 3, True)
+    ahead.apply_changes(
+        ChangeSet("contract", (ObjectVersion("contract", "a", 3, {"x": 1}),), 3, True)
     )
-    behind.adopt_complete(ahead.digest("contract"))
+    behind.adopt_complete_revision(ahead.digest("contract"))
     assert behind.get_complete("contract") == 0
