--- a/src/tamarackrill/router/attempts.py
+++ b/src/tamarackrill/router/attempts.py
@@ -11,7 +11,7 @@
     CurlAsyncHTTPClient,
     Exchange,
     Head,
-    UpstreamFailed,
+    UpstreamError,
 )
 
 Outcome = Literal["answered", "overloaded", "refused", "not_sent", "cut", "cancelled"]
@@ -61,14 +61,14 @@
         self.is_closed = False
         self._rest = b""
         self._reply = reply
-        reply.on_room = lambda: self.on_room()
+        reply.on_writable = lambda: self.on_writable()
 
     def take(self, piece: bytes) -> bool:
         """Take bytes of the stream."""
         rest = self._rest + piece.replace(b"\r\n", b"\n")
         *events, self._rest = rest.split(EVENT_END)
         if len(self._rest) > PIECE_MAX_BYTES:
-            raise UpstreamFailed("an event of the stream is too long", sent=True)
+            raise UpstreamError("an event of the stream is too long", sent=True)
         if not events:
             return True
         self.is_closed = events[-1].startswith(CLOSING_EVENT)
@@ -88,7 +88,7 @@
         self._size_bytes = 0
         self._reply = reply
         self._head = head
-        reply.on_room = lambda: self.on_room()
+        reply.on_writable = lambda: self.on_writable()
 
     def take(self, piece: bytes) -> bool:
         """Take bytes of the answer."""
@@ -165,7 +165,7 @@
         is_stream = call.stream and _is_event_stream(head)
         pump = _pump_events if is_stream else _pump_whole
         await pump(exchange, _strip_head(head), reply)
-    except UpstreamFailed as error:
+    except UpstreamError as error:
         outcome = _find_outcome(error, reply)
         if outcome == "cancelled" and call.kind == "engine":
             await _cancel_at_engine(client, call, endpoint)
@@ -185,13 +185,13 @@
     exchange = Exchange(client, "POST", url, {}, b"", CANCEL_TIMEOUT_S, True)
     try:
         await exchange.head()
-    except UpstreamFailed:
+    except UpstreamError:
         return
     finally:
         await exchange.close()
 
 
-def _find_outcome(error: UpstreamFailed, reply: Reply) -> Outcome:
+def _find_outcome(error: UpstreamError, reply: Reply) -> Outcome:
     if not error.sent:
         return "not_sent"
     return "cancelled" if reply.abandoned.is_set() else "cut"
@@ -222,7 +222,7 @@
     # good order, as when an engine is stopped.  The caller would take half an
     # answer for a whole one.
     if not outlet.is_closed:
-        raise UpstreamFailed("the stream ended without its closing event", sent=True)
+        raise UpstreamError("the stream ended without its closing event", sent=True)
 
 
 async def _pump_whole(exchange: Exchange, head: Head, reply: Reply) -> None:
--- a/src/tamarackrill/router/callers.py
+++ b/src/tamarackrill/router/callers.py
@@ -21,7 +21,7 @@
 from tamarackrill.router.upstream import (
     Exchange,
     Head,
-    UpstreamFailed,
+    UpstreamError,
 )
 
 # Homes that are tried before the entry router runs a call by itself.
@@ -68,7 +68,7 @@
         connection = handler.request.connection
         if connection is None or not connection.stream.writing():
             return True
-        flushed.add_done_callback(lambda _: self.on_room())
+        flushed.add_done_callback(lambda _: self.on_writable())
         return False
 
     def _record_gap(self) -> None:
@@ -201,7 +201,7 @@
             try:
                 await self._forward_to(call, home)
                 return True
-            except UpstreamFailed as error:
+            except UpstreamError as error:
                 if self._is_gone:
                     return True
                 self._may_have_run = self._may_have_run or error.sent
@@ -232,7 +232,7 @@
         try:
             head = await exchange.head()
             if LEAVING in head.headers:
-                raise UpstreamFailed("the home router is leaving", sent=False)
+                raise UpstreamError("the home router is leaving", sent=False)
             self.begin(head)
             outlet = _CallerOutlet(self, call.stream)
             await exchange.pump(outlet)
@@ -264,7 +264,7 @@
             raise held
         try:
             await self._forward_to(call, live[held.router])
-        except UpstreamFailed:
+        except UpstreamError:
             raise held from None
 
     def begin(self, head: Head) -> None:
--- a/src/tamarackrill/router/channels.py
+++ b/src/tamarackrill/router/channels.py
@@ -19,11 +19,11 @@
 UNREAD_MAX_BYTES = 128 * 1024
 
 
-class ChannelBroken(Exception):
+class ChannelError(Exception):
     """A connection ended, or brought something that is no answer."""
 
 
-class AnswerHead(NamedTuple):
+class ResponseHead(NamedTuple):
     """Status and headers of an answer, the names also in lower case."""
 
     status: int
@@ -36,7 +36,7 @@
 
     Attributes
     ----------
-    used : int
+    requests_sent : int
         Requests that were sent on it.
     idle_since_s : float
         When the last answer ended.
@@ -45,7 +45,7 @@
     """
 
     def __init__(self) -> None:
-        self.used = 0
+        self.requests_sent = 0
         self.idle_since_s = 0.0
         self.idle_max_s = 0.0
         self._transport: asyncio.Transport | None = None
@@ -93,7 +93,7 @@
     def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
         """Send a whole request."""
         self._request = h11.Request(method=method, target=target, headers=headers)
-        self.used += 1
+        self.requests_sent += 1
         sent = self._http.send(self._request) or b""
         if body:
             sent += self._http.send(h11.Data(data=body)) or b""
@@ -101,12 +101,12 @@
         assert self._transport is not None
         self._transport.write(sent)
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Return status and headers of the next answer.
 
         Raises
         ------
-        ChannelBroken
+        ChannelError
             If there will be none.
         """
         while True:
@@ -114,14 +114,14 @@
             if isinstance(event, h11.Response):
                 return _read_head(event)
             if not isinstance(event, h11.InformationalResponse):
-                raise ChannelBroken("the connection ended before an answer")
+                raise ChannelError("the connection ended before an answer")
 
-    async def read_piece(self) -> bytes:
+    async def read_chunk(self) -> bytes:
         """Return the next bytes of the body, empty at its end.
 
         Raises
         ------
-        ChannelBroken
+        ChannelError
             If the body was cut.
         """
         while True:
@@ -132,15 +132,15 @@
             elif isinstance(event, h11.EndOfMessage):
                 return b""
             else:
-                raise ChannelBroken("the connection ended within an answer")
+                raise ChannelError("the connection ended within an answer")
 
-    async def skip_answer(self) -> None:
+    async def skip_response(self) -> None:
         """Read a whole answer that belongs to another request, and wait for the next.
 
         An endpoint may send a second answer to a request after the first one; it then
         stands where the answer to the next request is expected.
         """
-        while await self.read_piece():
+        while await self.read_chunk():
             pass
         behind, _ = self._http.trailing_data
         assert self._request is not None
@@ -213,13 +213,13 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                raise ChannelBroken(str(error)) from error
+                raise ChannelError(str(error)) from error
             if event is not h11.NEED_DATA:
                 return event
             if self._error is not None:
-                raise ChannelBroken(repr(self._error)) from self._error
+                raise ChannelError(repr(self._error)) from self._error
             if self._is_ended:
-                raise ChannelBroken("the connection has ended")
+                raise ChannelError("the connection has ended")
             self._go_on_reading()
             self._waiting = asyncio.get_running_loop().create_future()
             await self._waiting
@@ -234,13 +234,13 @@
 _BOTH_DONE = {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}
 
 
-def _read_head(response: h11.Response) -> AnswerHead:
+def _read_head(response: h11.Response) -> ResponseHead:
     headers = tuple(
         (name.decode("latin-1"), value.decode("latin-1"))
         for name, value in response.headers.raw_items()
     )
     by_name = {name.lower(): value for name, value in headers}
-    return AnswerHead(response.status_code, headers, by_name)
+    return ResponseHead(response.status_code, headers, by_name)
 
 
 async def open_channel(address: str, timeout_s: float) -> Channel:
--- a/src/tamarackrill/router/cut_off.py
+++ b/src/tamarackrill/router/cut_off.py
@@ -10,7 +10,7 @@
 from tamarackrill.router.members import Members
 
 
-class CutOffWatch:
+class CutOffMonitor:
     """Whether endpoints outside the zone can be reached.
 
     Parameters
@@ -59,7 +59,7 @@
         ]
         return choose_witnesses(self._zone, routers)
 
-    def look(self) -> bool:
+    def update(self) -> bool:
         """Work out whether this router is cut off; return whether that has changed."""
         table = self._view.routes
         reach = self._placer.reach
--- a/src/tamarackrill/router/deployment_view.py
+++ b/src/tamarackrill/router/deployment_view.py
@@ -143,7 +143,7 @@
         """Return the endpoints of a service that may take new work."""
         return self._find_pools(service).live
 
-    def find_serving(self, service: str) -> EndpointPool:
+    def find_full_pool(self, service: str) -> EndpointPool:
         """Return all endpoints of a service, also those that leave."""
         return self._find_pools(service).all
 
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -45,7 +45,7 @@
 from tamarackrill.platform.store import STORE_FORM
 from tamarackrill.router.binding import report_unusable
 from tamarackrill.router.configuring import Configurer
-from tamarackrill.router.cut_off import CutOffWatch
+from tamarackrill.router.cut_off import CutOffMonitor
 from tamarackrill.router.datagrams import PeerSocket
 from tamarackrill.router.deployment_view import DeploymentView, ObjectReaders
 from tamarackrill.router.early_listener import open_listener
@@ -62,7 +62,7 @@
     pull,
     pull_changes,
 )
-from tamarackrill.router.placement_telling import PlacementTeller
+from tamarackrill.router.placement_telling import PlacementGossip
 from tamarackrill.router.platform_client import (
     PlatformClient,
     StoreCall,
@@ -157,7 +157,7 @@
         self._reporter_zones: dict[int, str] = {}
         self._hand_on = RelayBudget(settings.link_bytes_per_s)
         self._fleet_size = FleetSize()
-        self.cut_off = CutOffWatch(
+        self.cut_off = CutOffMonitor(
             settings.zone, self.view, self.placer, self.members, self.clock
         )
         self.placer.list_witnesses = self.cut_off.list_witnesses
@@ -186,7 +186,7 @@
             await self._peer_socket.start(settings.ip, settings.peer_port)
         self._store_client = CurlAsyncHTTPClient(force_instance=True)
         self._router_client = make_client()
-        self._make_placement_teller()
+        self._make_placement_gossip()
         self._listen_routers()
         self._listen_readiness()
         self._make_configurer()
@@ -234,7 +234,7 @@
             self.store,
             self._peer_keys,
             self.metrics.count,
-            self.placement_teller.encode_known,
+            self.placement_gossip.encode_snapshot,
             lambda size_bytes: self._hand_on.take(size_bytes, self.clock()),
         )
         peers = Application(handlers)
@@ -307,12 +307,12 @@
     def _pull(self, address: str, kind: str, since: int) -> Awaitable[ChangeSet]:
         return pull_changes(self._router_client, address, kind, since, self._peer_keys)
 
-    def _make_placement_teller(self) -> None:
-        self.placement_teller = PlacementTeller(
+    def _make_placement_gossip(self) -> None:
+        self.placement_gossip = PlacementGossip(
             PlacementNews(self.settings.name, self.settings.zone),
             self._endpoint_news,
             self.placer.index,
-            lambda facts: self.placer.take_facts(facts, self.clock()),
+            lambda facts: self.placer.observe_reports(facts, self.clock()),
             self.members,
             self._peer_socket.send,
             self._pull_placements,
@@ -320,7 +320,7 @@
             self.metrics,
             self.clock,
         )
-        self.placer.tell = self.placement_teller.tell
+        self.placer.tell = self.placement_gossip.tell
 
     def _pull_placements(self, address: str) -> Awaitable[bytes]:
         return pull(self._router_client, address, PLACEMENTS_PATH, self._peer_keys)
@@ -344,7 +344,7 @@
         self.store_news.tell()
 
     def _forget_gone(self) -> None:
-        for name in self.placer.take_endpoints(self.clock()):
+        for name in self.placer.update_endpoints(self.clock()):
             self.flow.attempts.pool.drop(name)
         self.flow.attempts.pool.retain(e.name for e in self.view.list_endpoints())
 
@@ -392,10 +392,10 @@
         self.gossiper.add_source(self._collect_entries)
         self.flow.attempts.tell_crash = self._tell_crash
         self._peer_socket.handlers.append(self.store_news.take_datagram)
-        self._peer_socket.handlers.append(self.placement_teller.take_datagram)
+        self._peer_socket.handlers.append(self.placement_gossip.take_datagram)
         self._peer_socket.handlers.append(self.gossiper.take_datagram)
         await self.gossiper.start()
-        await self.placement_teller.start()
+        await self.placement_gossip.start()
 
     def _collect_entries(self) -> PiggybackedEntries:
         return PiggybackedEntries(tuple(self.placer.poison.digest(self.clock())))
@@ -423,7 +423,7 @@
             self._note_lag(self.clock() - due_s)
             self.view.expire(self.clock())
             self.flow.attempts.paths.ask_due()
-            if self.cut_off.look():
+            if self.cut_off.update():
                 # A kept connection stays with its router, whatever the balancer does.
                 self.server.sends_elsewhere = self.cut_off.is_cut_off
             self._fleet_size.observe(len(self.members.list_live()), self.clock())
@@ -477,7 +477,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await self.placement_teller.stop()
+        await self.placement_gossip.stop()
         await self.gossiper.stop()
         await self.configurer.stop()
         self._peer_socket.stop()
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -21,13 +21,13 @@
 )
 from tamarackrill.router.channel_pool import ChannelPool
 from tamarackrill.router.channels import (
-    AnswerHead,
     Channel,
-    ChannelBroken,
+    ChannelError,
+    ResponseHead,
     open_channel,
 )
 from tamarackrill.router.edge_calls import EdgeCall
-from tamarackrill.router.edge_placing import EdgePlaced, EdgePlacer
+from tamarackrill.router.edge_placing import EdgePlacement, EdgePlacer
 from tamarackrill.router.edge_reply import EdgeReply
 from tamarackrill.router.metrics import Metrics
 from tamarackrill.router.paths import CONNECT_TIMEOUT_S, Paths
@@ -44,7 +44,7 @@
 class WholeAnswer(NamedTuple):
     """A whole answer of an endpoint."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -118,7 +118,7 @@
         )
         self.tell_crash: Callable[[int], None] = lambda fingerprint: None
 
-    async def run(self, progress: Progress, placed: EdgePlaced) -> Result:
+    async def run(self, progress: Progress, placed: EdgePlacement) -> Result:
         """Send a request to an endpoint; an answer to it is written to the client.
 
         Raises
@@ -148,7 +148,7 @@
         self._placer.start(call, placed, started_s)
         is_clean = False
         suspecting = asyncio.get_running_loop().call_later(
-            find_suspicion_timeout_s(call.route), self._placer.observe_silence, endpoint
+            find_suspicion_timeout_s(call.route), self._placer.observe_overdue, endpoint
         )
         try:
             result = await self._exchange(
@@ -163,7 +163,7 @@
         self._judge(call, placed, result)
         return result
 
-    async def _open(self, call: EdgeCall, placed: EdgePlaced) -> Channel | Result:
+    async def _open(self, call: EdgeCall, placed: EdgePlacement) -> Channel | Result:
         now_s = self._clock()
         endpoint = placed.endpoint
         # A connection that was kept may be closed by the endpoint just as a request is
@@ -184,7 +184,7 @@
     async def _exchange(
         self,
         progress: Progress,
-        placed: EdgePlaced,
+        placed: EdgePlacement,
         channel: Channel,
         started_s: float,
         note_first: Callable[[], None],
@@ -205,7 +205,7 @@
             # How long a stream goes on after this says nothing against its engine.
             note_first()
             first_s = self._clock() - started_s
-            self._placer.observe_first(call, placed.endpoint, self._clock())
+            self._placer.observe_response_start(call, placed.endpoint, self._clock())
             self.paths.note_answer(placed.endpoint)
             if facts.load is not None:
                 self._placer.observe_load(placed, facts.load, self._clock())
@@ -213,7 +213,7 @@
                 result = await self._take(progress, placed, channel, head, facts)
         except TimeoutError:
             return Result("lost", "silent")
-        except (ChannelBroken, EventStreamError) as error:
+        except (ChannelError, EventStreamError) as error:
             return Result("lost", str(error), is_broken=True)
         if channel.finish():
             self.pool.give_back(
@@ -221,7 +221,9 @@
             )
         return result._replace(first_s=first_s, status=head.status)
 
-    def _send(self, progress: Progress, placed: EdgePlaced, channel: Channel) -> None:
+    def _send(
+        self, progress: Progress, placed: EdgePlacement, channel: Channel
+    ) -> None:
         call = progress.call
         has_body = bool(call.body) or call.method in ("POST", "PUT", "PATCH")
         source = placed.copy_from
@@ -239,25 +241,29 @@
 
     async def _read_own_head(
         self, call: EdgeCall, channel: Channel
-    ) -> tuple[AnswerHead, AnswerHeaders]:
+    ) -> tuple[ResponseHead, AnswerHeaders]:
         for _ in range(FOREIGN_ANSWERS_MAX + 1):
             head = await channel.read_head()
             facts = read_answer(head.by_name)
             if facts.request_id == call.request_id:
                 return head, facts
             # On a new connection a refusal without an id can be of no other request.
-            if not facts.request_id and facts.has_not_run and channel.used == 1:
+            if (
+                not facts.request_id
+                and facts.has_not_run
+                and channel.requests_sent == 1
+            ):
                 return head, facts
             self._metrics.count("foreign_answers")
-            await channel.skip_answer()
-        raise ChannelBroken("answers of other requests")
+            await channel.skip_response()
+        raise ChannelError("answers of other requests")
 
     async def _take(
         self,
         progress: Progress,
-        placed: EdgePlaced,
+        placed: EdgePlacement,
         channel: Channel,
-        head: AnswerHead,
+        head: ResponseHead,
         facts: AnswerHeaders,
     ) -> Result:
         if head.status == MISPLACED or facts.has_not_run:
@@ -266,7 +272,7 @@
             return Result(outcome, f"status {head.status}")
         is_ok = OK_MIN <= head.status <= OK_MAX
         if is_ok and (not facts.is_signed or facts.is_encoded):
-            raise ChannelBroken("an answer without proof or with an encoding")
+            raise ChannelError("an answer without proof or with an encoding")
         if is_ok and facts.is_event_stream:
             await self._relay(progress, placed, channel, head)
             return Result("answered")
@@ -275,16 +281,16 @@
         if head.status >= SERVER_FAILED:
             return Result("failed", f"status {head.status}", whole)
         if progress.reply.has_begun:
-            raise ChannelBroken(f"a stream went on with status {head.status}")
+            raise ChannelError(f"a stream went on with status {head.status}")
         await progress.reply.begin(head.status, list_passed_back(head.headers), body)
         return Result("answered")
 
     async def _relay(
         self,
         progress: Progress,
-        placed: EdgePlaced,
+        placed: EdgePlacement,
         channel: Channel,
-        head: AnswerHead,
+        head: ResponseHead,
     ) -> None:
         reply, stream = progress.reply, progress.stream
         # Half an event of an endpoint that was lost may be held, also where the client
@@ -308,7 +314,7 @@
                 return
 
     async def _read_piece(
-        self, progress: Progress, placed: EdgePlaced, channel: Channel
+        self, progress: Progress, placed: EdgePlacement, channel: Channel
     ) -> bytes:
         has_begun = progress.reply.has_begun
         wait_s = find_chunk_timeout_s(
@@ -317,18 +323,18 @@
         while True:
             try:
                 async with asyncio.timeout(wait_s):
-                    return await channel.read_piece()
+                    return await channel.read_chunk()
             except TimeoutError:
                 # Given up with nobody to go on, the stream would end for its client in
                 # the middle, where the engine may only be slow.
                 if self._has_other(progress, placed):
                     raise
 
-    def _has_other(self, progress: Progress, placed: EdgePlaced) -> bool:
+    def _has_other(self, progress: Progress, placed: EdgePlacement) -> bool:
         avoid = progress.avoid | {placed.endpoint.name}
         return self._placer.has_endpoint(progress.call, avoid, self._clock())
 
-    def _judge(self, call: EdgeCall, placed: EdgePlaced, result: Result) -> None:
+    def _judge(self, call: EdgeCall, placed: EdgePlacement, result: Result) -> None:
         now_s = self._clock()
         if result.is_broken:
             self._check_crash(call, placed)
@@ -344,12 +350,12 @@
         ):
             self._placer.observe_result(call, placed, False, None, now_s)
 
-    def _check_crash(self, call: EdgeCall, placed: EdgePlaced) -> None:
+    def _check_crash(self, call: EdgeCall, placed: EdgePlacement) -> None:
         task = asyncio.create_task(self._ask_crashed(call, placed))
         self._checks.add(task)
         task.add_done_callback(self._checks.discard)
 
-    async def _ask_crashed(self, call: EdgeCall, placed: EdgePlaced) -> None:
+    async def _ask_crashed(self, call: EdgeCall, placed: EdgePlacement) -> None:
         # An answer can break off though its endpoint lives.  Only if nobody listens
         # there any more has the process ended, and the request may be why.
         try:
@@ -368,6 +374,6 @@
 
 async def _read_body(channel: Channel) -> bytes:
     pieces = []
-    while piece := await channel.read_piece():
+    while piece := await channel.read_chunk():
         pieces.append(piece)
     return b"".join(pieces)
--- a/src/tamarackrill/router/edge_flow.py
+++ b/src/tamarackrill/router/edge_flow.py
@@ -26,7 +26,7 @@
 )
 from tamarackrill.router.edge_attempts import EdgeAttempts, Progress, Result
 from tamarackrill.router.edge_calls import EdgeCall
-from tamarackrill.router.edge_placing import EdgePlaced, EdgePlacer, Overloaded
+from tamarackrill.router.edge_placing import EdgePlacement, EdgePlacer, Overloaded
 from tamarackrill.router.edge_reply import EdgeReply
 from tamarackrill.router.metrics import Metrics
 
@@ -124,7 +124,7 @@
         return share.count_retries_left(self._count_routers(), self._clock())
 
     async def _follow(
-        self, progress: Progress, placed: EdgePlaced, result: Result
+        self, progress: Progress, placed: EdgePlacement, result: Result
     ) -> bool:
         """Act on an attempt that brought no answer; return whether it was the last."""
         call = progress.call
@@ -161,7 +161,7 @@
         return True
 
     def _note_answer(
-        self, progress: Progress, placed: EdgePlaced, result: Result
+        self, progress: Progress, placed: EdgePlacement, result: Result
     ) -> None:
         call = progress.call
         total_s = self._clock() - call.arrived_s
--- a/src/tamarackrill/router/edge_placing.py
+++ b/src/tamarackrill/router/edge_placing.py
@@ -74,7 +74,7 @@
         self.waits_s = waits_s
 
 
-class EdgePlaced(NamedTuple):
+class EdgePlacement(NamedTuple):
     """An endpoint that was chosen, why, and what was known of its load.
 
     `copy_from` is the engine that probably holds what the chosen one lacks, `priority`
@@ -150,7 +150,7 @@
         avoid: Collection[str],
         now_s: float,
         may_refuse: bool = True,
-    ) -> EdgePlaced | None:
+    ) -> EdgePlacement | None:
         """Return where a request goes, or None if nothing can take it.
 
         Parameters
@@ -201,9 +201,9 @@
         choice: EndpointChoice,
         avoid: Collection[str],
         now_s: float,
-    ) -> EdgePlaced:
+    ) -> EdgePlacement:
         is_cached = choice.reason == "cached"
-        return EdgePlaced(
+        return EdgePlacement(
             choice.endpoint,
             choice.reason,
             choice.load,
@@ -228,7 +228,7 @@
     ) -> Endpoint | None:
         if not call.prefixes or not self._can_copy(call.service):
             return None
-        engines = self._view.find_serving(call.service)
+        engines = self._view.find_full_pool(call.service)
         barred = self._find_barred(avoid, now_s)
         return self.copies.find_source(
             call.prefixes, chosen.name, engines, barred, now_s
@@ -308,7 +308,7 @@
 
     def _choose_probe(
         self, call: EdgeCall, pool: EndpointPool, now_s: float
-    ) -> EdgePlaced | None:
+    ) -> EdgePlacement | None:
         # A probe of its own would be one more request to an endpoint, and would tell
         # less than a real one: an endpoint may answer probes and fail requests.
         if not call.route.may_repeat or len(pool) < 2:
@@ -316,9 +316,9 @@
         due = self.health.next_probe(now_s, pool.by_name)
         if due is None:
             return None
-        return EdgePlaced(pool.by_name[due], "probe", 0, 0)
+        return EdgePlacement(pool.by_name[due], "probe", 0, 0)
 
-    def start(self, call: EdgeCall, placed: EdgePlaced, now_s: float) -> None:
+    def start(self, call: EdgeCall, placed: EdgePlacement, now_s: float) -> None:
         """Count a request as running."""
         name = placed.endpoint.name
         request = _make_request(call, self._zone)
@@ -329,17 +329,19 @@
         if call.is_stream:
             self.waits.start(name, call.request_id, now_s)
 
-    def observe_first(self, call: EdgeCall, endpoint: Endpoint, now_s: float) -> None:
+    def observe_response_start(
+        self, call: EdgeCall, endpoint: Endpoint, now_s: float
+    ) -> None:
         """Take the beginning of an answer."""
         self.waits.answer(endpoint.name, call.request_id, now_s)
 
-    def observe_load(self, placed: EdgePlaced, load: int, now_s: float) -> None:
+    def observe_load(self, placed: EdgePlacement, load: int, now_s: float) -> None:
         """Take the load that an endpoint reports with an answer."""
         name = placed.endpoint.name
         self.placement.observe_report(name, load, now_s, now_s)
         self._news.observe_load(name, load, placed.bound)
 
-    def observe_silence(self, endpoint: Endpoint) -> None:
+    def observe_overdue(self, endpoint: Endpoint) -> None:
         """Take that a request waits for its answer for far longer than is usual."""
         self._news.observe_failure(endpoint.name)
 
@@ -348,7 +350,7 @@
         if self._take_misplaced(endpoint.name, "answer", now_s):
             self._news.observe_misplaced(endpoint.name)
 
-    def take_facts(self, facts: list[EndpointReport], now_s: float) -> None:
+    def observe_reports(self, facts: list[EndpointReport], now_s: float) -> None:
         """Take what routers tell of endpoints."""
         loads = [fact for fact in facts if isinstance(fact, EndpointLoad)]
         self.placement.loads.observe_hot_endpoints(loads, now_s)
@@ -373,7 +375,7 @@
     def observe_result(
         self,
         call: EdgeCall,
-        placed: EdgePlaced,
+        placed: EdgePlacement,
         is_ok: bool,
         first_s: float | None,
         now_s: float,
@@ -401,7 +403,7 @@
             return True
         return False
 
-    def take_endpoints(self, now_s: float) -> list[str]:
+    def update_endpoints(self, now_s: float) -> list[str]:
         """Forget what is known of endpoints that are gone or have started anew.
 
         Returns
--- a/src/tamarackrill/router/orders.py
+++ b/src/tamarackrill/router/orders.py
@@ -39,7 +39,7 @@
 from tamarackrill.router.upstream import (
     CurlAsyncHTTPClient,
     Exchange,
-    UpstreamFailed,
+    UpstreamError,
 )
 
 LEASE_KIND = "lease"
@@ -206,7 +206,7 @@
         )
         try:
             return (await exchange.head()).status
-        except UpstreamFailed:
+        except UpstreamError:
             return 0
         finally:
             await exchange.close()
--- a/src/tamarackrill/router/outlets.py
+++ b/src/tamarackrill/router/outlets.py
@@ -13,12 +13,12 @@
 
     Attributes
     ----------
-    on_room : callable
+    on_writable : callable
         Set by the source; called once there is room after `take` returned False.
     """
 
     def __init__(self) -> None:
-        self.on_room: Callable[[], None] = lambda: None
+        self.on_writable: Callable[[], None] = lambda: None
 
     def take(self, piece: bytes) -> bool:
         """Take a piece, always; return whether there is room for another one."""
--- a/src/tamarackrill/router/owners.py
+++ b/src/tamarackrill/router/owners.py
@@ -99,7 +99,7 @@
         self.reservations.expire(now_s)
 
     async def reserve(
-        self, endpoint: Endpoint, lapses_s: float, is_last: bool
+        self, endpoint: Endpoint, lifetime_s: float, is_last: bool
     ) -> tuple[ReservationReply | None, Ticket]:
         """Ask the owner of an endpoint for a reservation.
 
@@ -113,7 +113,7 @@
         number = next(self._numbers)
         owner = self._find_owner(endpoint)
         own = self._members.own.name
-        ask = Ask(own, number, endpoint.name, int(lapses_s * 1000), is_last)
+        ask = Ask(own, number, endpoint.name, int(lifetime_s * 1000), is_last)
         if owner.name == own:
             return self._decide(ask), Ticket(own, number)
         future: asyncio.Future[ReservationReply] = (
--- a/src/tamarackrill/router/placement_telling.py
+++ b/src/tamarackrill/router/placement_telling.py
@@ -42,7 +42,7 @@
 Pull = Callable[[str], Awaitable[bytes]]
 
 
-class PlacementTeller:
+class PlacementGossip:
     """Tells the other routers of new placements, and takes theirs.
 
     Parameters
@@ -53,7 +53,7 @@
         What this router has to tell of endpoints.
     index : CacheIndex
         Holders of prefixes; what others tell is put in.
-    take_facts : callable
+    observe_reports : callable
         Called with what routers tell of endpoints, and with the failures that this one
         tells.
     members : Members
@@ -75,7 +75,7 @@
         news: PlacementNews,
         endpoint_news: EndpointNews,
         index: CacheIndex,
-        take_facts: Callable[[list[EndpointReport]], None],
+        observe_reports: Callable[[list[EndpointReport]], None],
         members: Members,
         send: Callable[[str, bytes], None],
         pull: Pull,
@@ -86,7 +86,7 @@
         self._news = news
         self._endpoint_news = endpoint_news
         self._index = index
-        self._take_facts = take_facts
+        self._observe_reports = observe_reports
         self._members = members
         self._send = send
         self._pull = pull
@@ -114,7 +114,7 @@
         for held in found:
             self._news.tell(held, is_expected, now_s)
 
-    def encode_known(self) -> bytes:
+    def encode_snapshot(self) -> bytes:
         """Return what this router knows, for one that has just started."""
         found = self._index.list_recent(LEARNED_MAX, self._clock())
         entries = tuple(
@@ -141,7 +141,7 @@
             else:
                 facts.append(entry)
         if facts:
-            self._take_facts(facts)
+            self._observe_reports(facts)
 
     async def _tell_for_ever(self) -> None:
         while True:
@@ -150,7 +150,7 @@
             self._news.set_members(live)
             facts = self._endpoint_news.take()
             # Of loads and addresses this router knows what it tells.
-            self._take_facts(
+            self._observe_reports(
                 [fact for fact in facts if isinstance(fact, FailureReport)]
             )
             self._act(self._news.tick(self._clock(), facts))
--- a/src/tamarackrill/router/placing.py
+++ b/src/tamarackrill/router/placing.py
@@ -211,10 +211,10 @@
         # The call counts while the owner is asked.  Otherwise its slot would be taken
         # for free and the next call admitted to it.
         self.placement.loads.start(name, now_s)
-        lapses_s = max(0.0, call.deadline_s - now_s)
+        lifetime_s = max(0.0, call.deadline_s - now_s)
         try:
             grant, ticket = await self._owners.reserve(
-                choice.endpoint, lapses_s, is_last
+                choice.endpoint, lifetime_s, is_last
             )
         finally:
             self.placement.loads.finish(name, now_s)
--- a/src/tamarackrill/router/probing.py
+++ b/src/tamarackrill/router/probing.py
@@ -11,7 +11,7 @@
 from tamarackrill.router.upstream import (
     CurlAsyncHTTPClient,
     Exchange,
-    UpstreamFailed,
+    UpstreamError,
 )
 
 LOOK_EVERY_S = 0.25
@@ -66,7 +66,7 @@
         sent_s = self._clock()
         try:
             status = await self._ask(endpoint)
-        except UpstreamFailed:
+        except UpstreamError:
             status = 0
         now_s = self._clock()
         is_ok = 0 < status < SERVER_ERROR
--- a/src/tamarackrill/router/replies.py
+++ b/src/tamarackrill/router/replies.py
@@ -136,7 +136,7 @@
             message = "that part of the answer is no longer kept"
             raise Refusal("answer_gone", 409, message, "unknown")
         reader = _Reader(outlet, after)
-        outlet.on_room = lambda: self._resume(reader)
+        outlet.on_writable = lambda: self._resume(reader)
         self._pumped.append(reader)
         try:
             self._resume(reader)
@@ -172,7 +172,7 @@
             self._wake()
         elif self._was_full and self._has_room():
             self._was_full = False
-            self.on_room()
+            self.on_writable()
 
     def _drop_taken(self) -> None:
         if self.keep or not self._pumped:
--- a/src/tamarackrill/router/upstream.py
+++ b/src/tamarackrill/router/upstream.py
@@ -26,7 +26,7 @@
 CLIENTS_MAX = 1000
 
 
-class UpstreamFailed(Exception):
+class UpstreamError(Exception):
     """An exchange ended without a whole answer.
 
     Parameters
@@ -87,7 +87,7 @@
         self._paused = False
         self._cancelled = False
         self._over = False
-        self._error: UpstreamFailed | None = None
+        self._error: UpstreamError | None = None
         self._changed = asyncio.Event()
         self._head: asyncio.Future[Head] = asyncio.get_running_loop().create_future()
         self._status = 0
@@ -121,7 +121,7 @@
 
         Raises
         ------
-        UpstreamFailed
+        UpstreamError
             If the exchange ended before.
         """
         return await self._head
@@ -136,10 +136,10 @@
 
         Raises
         ------
-        UpstreamFailed
+        UpstreamError
             If the answer was cut; what was handed on is then not the whole answer.
         """
-        outlet.on_room = self._resume
+        outlet.on_writable = self._resume
         self._outlet = outlet
         self._resume()
         while not self._over or self._chunks:
@@ -254,9 +254,9 @@
             # libcurl to connect anew, which fails; the error then tells of the
             # connection alone, though the request has left and may have run.
             sent = self._sent_bytes > 0 or error.errno not in _NOTHING_SENT
-            self._error = UpstreamFailed(str(error), sent)
+            self._error = UpstreamError(str(error), sent)
         except Exception as error:  # noqa: BLE001 - an answer must end, come what may
-            self._error = UpstreamFailed(repr(error), sent=True)
+            self._error = UpstreamError(repr(error), sent=True)
         self._over = True
         self._curl = None
         if self._error is not None and not self._head.done():
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -12,7 +12,7 @@
 from tamarackrill.router.upstream import (
     UNREAD_MAX_BYTES,
     Exchange,
-    UpstreamFailed,
+    UpstreamError,
     make_client,
 )
 from tamarackrill.testing.daemon import listen
@@ -85,7 +85,7 @@
             seen = _FastHandler.written
             held = max(held, exchange.unread_bytes + reader.size)
         reader.room = True
-        reader.on_room()
+        reader.on_writable()
         await pumping
         await exchange.close()
         return held, reader.size
@@ -100,7 +100,7 @@
     # An answer is cut, or nobody listens.  Only in the second case may the caller
     # be told that its request was not run.
     async def act(exchange):
-        with pytest.raises(UpstreamFailed) as caught:
+        with pytest.raises(UpstreamError) as caught:
             await exchange.head()
             await exchange.pump(_SlowReader())
         await exchange.close()
@@ -149,7 +149,7 @@
             assert (await first.head()).status == 200
             await first.close()
             second = Exchange(client, "POST", url, {}, b"order", 30.0, True)
-            with pytest.raises(UpstreamFailed) as caught:
+            with pytest.raises(UpstreamError) as caught:
                 await second.head()
             await second.close()
             return caught.value.sent
