--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -62,7 +62,7 @@
     pull,
     pull_changes,
 )
-from tamarackrill.router.placement_telling import PlacementGossip
+from tamarackrill.router.placement_gossip import PlacementGossip
 from tamarackrill.router.platform_client import (
     PlatformClient,
     StoreCall,
