--- a/src/tamarackrill/router/edge_placing.py
+++ b/src/tamarackrill/router/edge_placing.py
@@ -1,4 +1,4 @@
-"""Places requests of the platform's interface: asks the decisions for an endpoint."""
+"""Endpoint selection for requests of the platform's interface."""
 
 import math
 from collections.abc import Callable, Collection, Mapping
@@ -41,23 +41,23 @@
 from tamarackrill.router.deployment_view import DeploymentView
 from tamarackrill.router.edge_calls import EdgeCall
 
-# Part of the greatest multiple of the mean load that an endpoint may have: a router
-# knows of the others' requests only by the loads that come with answers, which are
-# late.
+# Share of the load cap that a router uses as its own bound: it learns of the requests
+# of other routers only from the loads reported with responses, which lag behind.
 LOAD_CAP_SHARE = 0.75
-# Requests beyond the multiple.  Without it a burst of one session goes on to endpoints
-# that have to read or copy its prompt first: on a played quiet day 564 thousand tokens
-# were read again with 0 and 450 with 1, all of them read; of copied prompts, engines
-# moved 154 GB with 1 and 113 GB with 2.  What nobody may exceed is 3 beyond twice the
-# mean, which 2 beyond one and a half times it keeps away from.
+# Requests allowed beyond the multiple.  Without them a burst of one session overflows
+# to endpoints that have to read or copy its prompt first.  In a load test of a quiet
+# day, 564 thousand tokens were read again with 0 and 450 thousand with 1, without
+# copying; with copying, engines moved 154 GB with 1 and 113 GB with 2.  The hard limit
+# is 3 requests beyond twice the mean; 2 beyond one and a half times the mean stays
+# below it.
 LOAD_SLACK = 2
 OVERLOADED_STATUS = 503
-# Requests at an endpoint beyond its slots, in multiples of them, before a router looks
-# on it as full: a lookup of 20 ms behind three others is still on time.
+# If no endpoint has a free slot, requests queue at endpoints up to this multiple of
+# their slots: a lookup of 20 ms behind three others is still on time.
 QUEUE_MULTIPLE = 4
-# News of failures comes in batches, twice as far apart.
-JUDGE_EVERY_S = 0.05
-POOL_LOGGED_EVERY_S = 1.0
+# Failure reports arrive in batches at twice this interval.
+EVALUATION_INTERVAL_S = 0.05
+POOL_LOG_INTERVAL_S = 1.0
 
 
 class Overloaded(Refusal):
@@ -66,7 +66,7 @@
     Parameters
     ----------
     waits_s : mapping of str to float
-        How long others wait there for their first event.
+        How long prompts wait at each engine for their first event.
     """
 
     def __init__(self, waits_s: Mapping[str, float]) -> None:
@@ -75,10 +75,10 @@
 
 
 class EdgePlacement(NamedTuple):
-    """An endpoint that was chosen, why, and what was known of its load.
+    """The endpoint selected for a request, the reason, and its known load.
 
-    `copy_from` is the engine that probably holds what the chosen one lacks, `priority`
-    the request's rank at an engine.
+    `copy_from` is the engine that most likely caches the prefixes that the selected one
+    lacks, `priority` the request's priority in an engine's queue.
     """
 
     endpoint: Endpoint
@@ -90,28 +90,28 @@
 
 
 class EdgePlacer:
-    """Knows what runs where, and which endpoints can be trusted.
+    """Selects endpoints by load, cached prefixes and health.
 
     Parameters
     ----------
     view : DeploymentView
-        Endpoints in force.
+        Current endpoints.
     zone : str
         Availability zone of this router, and so of its clients.
     load_cap : float
         Multiple of the mean load that no endpoint may exceed.
     news : EndpointNews
-        Takes what other routers should know of endpoints.
+        Queues reports about endpoints for other routers.
     find_zone : callable
-        Returns the availability zone of a router that tells news.
+        Returns the availability zone of a reporting router.
 
     Attributes
     ----------
     index : CacheIndex
-        Holders of prefixes.
+        Engines that cache each prefix.
     tell : callable
-        Called with what other routers may not know of an engine's prefixes, and
-        whether they expect it.
+        Called with prefixes that an engine has newly cached, and whether other routers
+        expect them there.
     """
 
     def __init__(
@@ -137,9 +137,9 @@
         self.fleet_health = FleetHealth(find_zone, zone, load_cap)
         self._news = news
         self._incarnations = Incarnations()
-        # When the failures of a service's endpoints were last judged, and logged.
-        self._judged_s: dict[str, float] = {}
-        self._told_s: dict[str, float] = {}
+        # When the failures of a service's endpoints were last evaluated, and logged.
+        self._evaluated_s: dict[str, float] = {}
+        self._logged_s: dict[str, float] = {}
         self.list_endpoints = view.list_endpoints
         self.list_witnesses: Callable[[], list[Endpoint]] = list
         self.tell: Callable[[list[Holding], bool], None] = lambda found, expected: None
@@ -151,33 +151,33 @@
         now_s: float,
         may_refuse: bool = True,
     ) -> EdgePlacement | None:
-        """Return where a request goes, or None if nothing can take it.
+        """Select the endpoint for a request; None if no endpoint can take it.
 
         Parameters
         ----------
         call : EdgeCall
             The request.
         avoid : collection of str
-            Endpoints that have failed it.
+            Endpoints that have failed the request.
         now_s : float
-            The present time.
+            Current time.
         may_refuse : bool, default=True
-            Whether it may be refused because all engines are too slow for it.  One
-            whose stream its client has begun to read is served however late.
+            Whether it may be refused because all engines are too slow.  If its client
+            has received part of the stream, the request is served however late.
 
         Raises
         ------
         Overloaded
-            If all engines are too slow for it.
+            If all engines are too slow for the request.
         Refusal
-            If it has crashed too many endpoints.
+            If the request has crashed too many endpoints.
         """
         self.poison.check(call.fingerprint, now_s)
         pool = self._view.find_pool(call.service)
         probed = self._choose_probe(call, pool.exclude(avoid), now_s)
         if probed is not None:
             return probed
-        slow = self._find_slow(call, now_s) if may_refuse else {}
+        slow = self._find_slow_engines(call, now_s) if may_refuse else {}
         pools = self._list_pools(pool, call, avoid, now_s)
         for narrowed in pools:
             choice = self._choose_among(call, narrowed, pools[-1], slow, now_s)
@@ -187,7 +187,7 @@
             raise Overloaded(slow)
         return None
 
-    def _find_slow(self, call: EdgeCall, now_s: float) -> dict[str, float]:
+    def _find_slow_engines(self, call: EdgeCall, now_s: float) -> dict[str, float]:
         if not call.is_stream:
             return {}
         holders = [h.endpoint for h in self.index.holders(call.session, now_s)]
@@ -208,30 +208,30 @@
             choice.reason,
             choice.load,
             choice.bound,
-            self._find_source(call, choice.endpoint, avoid, now_s),
+            self._find_copy_source(call, choice.endpoint, avoid, now_s),
             choose_priority(call.urgency, is_cached) if call.is_stream else None,
         )
 
-    def _find_barred(self, avoid: Collection[str], now_s: float) -> set[str]:
-        """Return the endpoints that can't serve a request now."""
+    def _find_unavailable(self, avoid: Collection[str], now_s: float) -> set[str]:
+        """Return the endpoints that are unreachable, misplaced or to be avoided."""
         return {*self.reach.unreachable, *self.misplaced.find(now_s), *avoid}
 
     def has_endpoint(
         self, call: EdgeCall, avoid: Collection[str], now_s: float
     ) -> bool:
-        """Return whether an endpoint besides those to avoid can be reached."""
+        """Return whether any endpoint but those to avoid is available."""
         pool = self._view.find_pool(call.service)
-        return bool(len(pool.exclude(self._find_barred(avoid, now_s))))
+        return bool(len(pool.exclude(self._find_unavailable(avoid, now_s))))
 
-    def _find_source(
+    def _find_copy_source(
         self, call: EdgeCall, chosen: Endpoint, avoid: Collection[str], now_s: float
     ) -> Endpoint | None:
         if not call.prefixes or not self._can_copy(call.service):
             return None
         engines = self._view.find_full_pool(call.service)
-        barred = self._find_barred(avoid, now_s)
+        unavailable = self._find_unavailable(avoid, now_s)
         return self.copies.find_source(
-            call.prefixes, chosen.name, engines, barred, now_s
+            call.prefixes, chosen.name, engines, unavailable, now_s
         )
 
     def _can_copy(self, service_name: str) -> bool:
@@ -244,36 +244,38 @@
     def _list_pools(
         self, pool: EndpointPool, call: EdgeCall, avoid: Collection[str], now_s: float
     ) -> list[EndpointPool]:
-        """Return the endpoints that can be reached, only the trusted ones first.
+        """Return the pools to try in order, the most trusted endpoints first.
 
-        A request for endpoints none of which can be reached is refused at once: it
-        would only wait for one timeout after the other, as those before it did.
+        None of them contains unavailable endpoints: if there are no others, a request
+        is refused at once instead of waiting for one timeout after another.
         """
-        unreachable = self._find_barred(avoid, now_s)
-        unsound = unreachable | self.health.find_excluded(pool.by_name, now_s)
-        unsound |= self._find_failing(call.service, pool, now_s)
-        suspected = unsound | self.poison.find_endpoints_to_avoid(
+        unavailable = self._find_unavailable(avoid, now_s)
+        untrusted = unavailable | self.health.find_excluded(pool.by_name, now_s)
+        untrusted |= self._find_paused(call.service, pool, now_s)
+        suspected = untrusted | self.poison.find_endpoints_to_avoid(
             call.fingerprint, now_s
         )
-        return [pool.exclude(names) for names in (suspected, unsound, unreachable)]
+        return [pool.exclude(names) for names in (suspected, untrusted, unavailable)]
 
-    def _find_failing(self, service: str, pool: EndpointPool, now_s: float) -> set[str]:
+    def _find_paused(self, service: str, pool: EndpointPool, now_s: float) -> set[str]:
         if self.fleet_health.has_no_failures:
             return set()
-        if now_s >= self._judged_s.get(service, -math.inf) + JUDGE_EVERY_S:
-            self._judged_s[service] = now_s
-            self._judge(service, pool, now_s)
+        if now_s >= self._evaluated_s.get(service, -math.inf) + EVALUATION_INTERVAL_S:
+            self._evaluated_s[service] = now_s
+            self._evaluate_failures(service, pool, now_s)
         slots = {name: endpoint.slots for name, endpoint in pool.by_name.items()}
         in_flight = self.placement.loads.summarize(slots, now_s).total
         return self.fleet_health.find_paused(slots, in_flight, now_s)
 
-    def _judge(self, service: str, pool: EndpointPool, now_s: float) -> None:
+    def _evaluate_failures(
+        self, service: str, pool: EndpointPool, now_s: float
+    ) -> None:
         known = self.fleet_health.describe(pool.by_name, now_s)
         for name in self.fleet_health.pause_failing(pool.by_name, now_s):
             log_event(ENDPOINT_PAUSED, endpoint=name, service=service)
-        is_due = now_s >= self._told_s.get(service, -math.inf) + POOL_LOGGED_EVERY_S
+        is_due = now_s >= self._logged_s.get(service, -math.inf) + POOL_LOG_INTERVAL_S
         if known.failing and is_due:
-            self._told_s[service] = now_s
+            self._logged_s[service] = now_s
             log_event(
                 POOL_FAILING,
                 service=service,
@@ -288,7 +290,7 @@
         self,
         call: EdgeCall,
         pool: EndpointPool,
-        reached: EndpointPool,
+        reachable: EndpointPool,
         slow: Collection[str],
         now_s: float,
     ) -> EndpointChoice | None:
@@ -300,7 +302,7 @@
                 now_s,
                 refused=slow,
                 slots_multiple=multiple,
-                bounded_by=reached,
+                bounded_by=reachable,
             )
             if choice is not None:
                 return choice
@@ -309,8 +311,8 @@
     def _choose_probe(
         self, call: EdgeCall, pool: EndpointPool, now_s: float
     ) -> EdgePlacement | None:
-        # A probe of its own would be one more request to an endpoint, and would tell
-        # less than a real one: an endpoint may answer probes and fail requests.
+        # Ejected endpoints are probed with real requests: a synthetic probe is an extra
+        # request and shows less, as an endpoint may answer probes and fail requests.
         if not call.route.may_repeat or len(pool) < 2:
             return None
         due = self.health.next_probe(now_s, pool.by_name)
@@ -319,11 +321,11 @@
         return EdgePlacement(pool.by_name[due], "probe", 0, 0)
 
     def start(self, call: EdgeCall, placed: EdgePlacement, now_s: float) -> None:
-        """Count a request as running."""
+        """Count a request that is being sent to an endpoint."""
         name = placed.endpoint.name
         request = _make_request(call, self._zone)
-        found = self.copies.record_send(call.prefixes, name, now_s)
-        self.tell(found, placed.reason == "hashed")
+        learned = self.copies.record_send(call.prefixes, name, now_s)
+        self.tell(learned, placed.reason == "hashed")
         self.placement.start(name, request, now_s)
         self.poison.start(call.fingerprint, name, now_s)
         if call.is_stream:
@@ -332,42 +334,42 @@
     def observe_response_start(
         self, call: EdgeCall, endpoint: Endpoint, now_s: float
     ) -> None:
-        """Take the beginning of an answer."""
+        """Record that a response has begun."""
         self.waits.answer(endpoint.name, call.request_id, now_s)
 
     def observe_load(self, placed: EdgePlacement, load: int, now_s: float) -> None:
-        """Take the load that an endpoint reports with an answer."""
+        """Record the load that an endpoint reports with a response."""
         name = placed.endpoint.name
         self.placement.observe_report(name, load, now_s, now_s)
         self._news.observe_load(name, load, placed.bound)
 
     def observe_overdue(self, endpoint: Endpoint) -> None:
-        """Take that a request waits for its answer for far longer than is usual."""
+        """Report a failure of an endpoint whose response is long overdue."""
         self._news.observe_failure(endpoint.name)
 
     def observe_misplaced(self, endpoint: Endpoint, now_s: float) -> None:
-        """Take that another endpoint answers at the address of one."""
-        if self._take_misplaced(endpoint.name, "answer", now_s):
+        """Record that another endpoint responds at an endpoint's address."""
+        if self._record_misplaced(endpoint.name, "answer", now_s):
             self._news.observe_misplaced(endpoint.name)
 
-    def observe_reports(self, facts: list[EndpointReport], now_s: float) -> None:
-        """Take what routers tell of endpoints."""
-        loads = [fact for fact in facts if isinstance(fact, EndpointLoad)]
+    def observe_reports(self, reports: list[EndpointReport], now_s: float) -> None:
+        """Process endpoint reports of routers."""
+        loads = [report for report in reports if isinstance(report, EndpointLoad)]
         self.placement.loads.observe_hot_endpoints(loads, now_s)
-        for fact in facts:
-            if isinstance(fact, FailureReport):
-                self.fleet_health.observe(fact, now_s)
-            elif isinstance(fact, MisplacedReport):
-                self._take_misplaced(fact.endpoint, "news", now_s)
-
-    def _take_misplaced(self, name: str, source: str, now_s: float) -> bool:
-        is_news = self.misplaced.observe(name, now_s)
-        if is_news:
+        for report in reports:
+            if isinstance(report, FailureReport):
+                self.fleet_health.observe(report, now_s)
+            elif isinstance(report, MisplacedReport):
+                self._record_misplaced(report.endpoint, "news", now_s)
+
+    def _record_misplaced(self, name: str, source: str, now_s: float) -> bool:
+        is_new = self.misplaced.observe(name, now_s)
+        if is_new:
             log_event(ENDPOINT_MISPLACED, endpoint=name, source=source)
-        return is_news
+        return is_new
 
     def finish(self, call: EdgeCall, endpoint: Endpoint, now_s: float) -> None:
-        """Count a request as over at an endpoint."""
+        """Count a request that has ended at an endpoint."""
         self.waits.finish(endpoint.name, call.request_id)
         self.placement.finish(endpoint.name, now_s)
         self.poison.finish(call.fingerprint, endpoint.name)
@@ -380,7 +382,7 @@
         first_s: float | None,
         now_s: float,
     ) -> None:
-        """Take how an endpoint served a request that it was sent."""
+        """Record the outcome of a request at an endpoint."""
         name = placed.endpoint.name
         pool = self._view.find_pool(call.service).by_name
         if is_ok:
@@ -396,7 +398,7 @@
             log_event(ENDPOINT_EJECTED, endpoint=name, outcome=outcome)
 
     def is_poison(self, call: EdgeCall, now_s: float) -> bool:
-        """Return whether a request must not reach another endpoint."""
+        """Return whether a request has crashed too many endpoints."""
         try:
             self.poison.check(call.fingerprint, now_s)
         except Refusal:
@@ -404,12 +406,12 @@
         return False
 
     def update_endpoints(self, now_s: float) -> list[str]:
-        """Forget what is known of endpoints that are gone or have started anew.
+        """Drop the state of endpoints that are gone or have restarted.
 
         Returns
         -------
         list of str
-            Those that have started anew.
+            Endpoints that have restarted.
         """
         endpoints = self._view.list_endpoints()
         known = {endpoint.name for endpoint in endpoints}
@@ -420,10 +422,10 @@
         self.copies.observe_endpoints(known, now_s)
         restarted = self._incarnations.observe(endpoints)
         for name in restarted:
-            self._forget(name, now_s)
+            self._reset_endpoint(name, now_s)
         return restarted
 
-    def _forget(self, name: str, now_s: float) -> None:
+    def _reset_endpoint(self, name: str, now_s: float) -> None:
         log_event(ENDPOINT_RESTARTED, endpoint=name)
         self.copies.record_restart(name, now_s)
         self.placement.loads.remove(name)
--- a/src/tamarackrill/router/placement_gossip.py
+++ b/src/tamarackrill/router/placement_gossip.py
@@ -1,4 +1,4 @@
-"""Exchanges with the other routers what they know of prompts and of endpoints."""
+"""Gossip of prompt placements and endpoint reports between routers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -33,41 +33,41 @@
 from tamarackrill.router.metrics import Metrics
 from tamarackrill.router.peer_api import PeerUnavailable
 
-# Entries that a router which has just started is given: the sessions of some minutes,
-# about 120 KB once in the life of a process.
-LEARNED_MAX = 4_000
-# Routers asked by one that has just started; each may have just started itself.
-TEACHERS_MAX = 3
+# Entries of the snapshot that a starting router loads from a peer: the sessions of the
+# last minutes, about 120 KB once per process.
+SNAPSHOT_ENTRIES_MAX = 4_000
+# Peers that a starting router asks for a snapshot; each may have just started itself.
+SNAPSHOT_PEERS_MAX = 3
 
 Pull = Callable[[str], Awaitable[bytes]]
 
 
 class PlacementGossip:
-    """Tells the other routers of new placements, and takes theirs.
+    """Announces new placements to the other routers, and records theirs.
 
     Parameters
     ----------
     news : PlacementNews
-        Decides what goes to whom.
+        Decides which news goes to which router.
     endpoint_news : EndpointNews
-        What this router has to tell of endpoints.
+        This router's reports about endpoints.
     index : CacheIndex
-        Holders of prefixes; what others tell is put in.
+        Engines that cache each prefix; placements of other routers are recorded in it.
     observe_reports : callable
-        Called with what routers tell of endpoints, and with the failures that this one
-        tells.
+        Called with endpoint reports of other routers, and with failures that this one
+        reports.
     members : Members
-        Live routers, this one among them.
+        Live routers, including this one.
     send : callable
         Sends a datagram to a peer address.
     pull : callable
-        ``await pull(peer_address)`` returns what another router knows, encoded.
+        ``await pull(peer_address)`` returns another router's encoded snapshot.
     peer_keys : tuple of str
-        The first signs, all verify.
+        The first key signs, all verify.
     metrics : Metrics
-        Counts.
+        Receives the counts of entries sent and received.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -96,71 +96,70 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Start to tell, and to learn what others know."""
-        for work in (self._tell_for_ever(), self._learn()):
+        """Start the gossip, and load a snapshot from a peer."""
+        for work in (self._run_ticks(), self._load_snapshot()):
             task = asyncio.create_task(work)
             task.add_done_callback(log_failure)
             self._tasks.append(task)
 
     async def stop(self) -> None:
-        """End both."""
+        """Cancel all tasks and wait for them."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def tell(self, found: list[Holding], is_expected: bool) -> None:
-        """Take what this router has found out itself; see `PlacementNews.tell`."""
+        """Announce placements of this router; see `PlacementNews.tell`."""
         now_s = self._clock()
         for held in found:
             self._news.tell(held, is_expected, now_s)
 
     def encode_snapshot(self) -> bytes:
-        """Return what this router knows, for one that has just started."""
-        found = self._index.list_recent(LEARNED_MAX, self._clock())
+        """Return the recent placements, encoded for a starting router."""
+        found = self._index.list_recent(SNAPSHOT_ENTRIES_MAX, self._clock())
         entries = tuple(
             Holding(h.endpoint, key, h.tokens) for key, h in reversed(found)
         )
         return write_news(News(self._members.own.name, Stage.TO_ROUTER, entries))
 
     def take_datagram(self, datagram: bytes, source: str) -> bool:
-        """Take a datagram; return whether it held news of placements."""
+        """Process a datagram; return whether it was a placement news message."""
         news = decode_news(datagram, self._peer_keys)
         if news is None:
             return False
         self._metrics.count("placements_heard", by=len(news.entries))
-        self._take_news(news)
-        self._act(self._news.receive(news))
+        self._apply_news(news)
+        self._send_news(self._news.receive(news))
         return True
 
-    def _take_news(self, news: News) -> None:
+    def _apply_news(self, news: News) -> None:
         now_s = self._clock()
-        facts: list[EndpointReport] = []
+        reports: list[EndpointReport] = []
         for entry in news.entries:
             if isinstance(entry, Holding):
                 self._index.record_send(entry.key, entry.engine, entry.tokens, now_s)
             else:
-                facts.append(entry)
-        if facts:
-            self._observe_reports(facts)
+                reports.append(entry)
+        if reports:
+            self._observe_reports(reports)
 
-    async def _tell_for_ever(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
             live = [(m.name, m.zone) for m in self._members.list_live()]
             self._news.set_members(live)
-            facts = self._endpoint_news.take()
-            # Of loads and addresses this router knows what it tells.
+            reports = self._endpoint_news.take()
+            # This router's own loads and misplaced addresses are already recorded.
             self._observe_reports(
-                [fact for fact in facts if isinstance(fact, FailureReport)]
+                [report for report in reports if isinstance(report, FailureReport)]
             )
-            self._act(self._news.tick(self._clock(), facts))
+            self._send_news(self._news.tick(self._clock(), reports))
 
-    def _act(self, actions: list[SendNews]) -> None:
+    def _send_news(self, actions: list[SendNews]) -> None:
         if not actions:
             return
         addresses = {m.name: m.peer_address for m in self._members.list_live()}
-        # Each batch goes to a handful of routers, and to encode it takes longer than to
-        # send it.
+        # Each batch goes to several routers, and encoding takes longer than sending.
         datagrams: dict[int, bytes] = {}
         for action in actions:
             address = addresses.get(action.router)
@@ -173,21 +172,21 @@
             self._metrics.count("placements_sent", by=len(action.news.entries))
             self._send(address, datagram)
 
-    async def _learn(self) -> None:
-        # A router that starts while the others serve knows no engine that holds a
-        # prompt.  Until it has sent each session once itself, it would send those that
-        # have moved to engines which have to read them, and name the wrong ones to copy
-        # from.
+    async def _load_snapshot(self) -> None:
+        # A starting router doesn't know which engines cache which prompts.  Without a
+        # snapshot it would send sessions that have moved to engines which have to read
+        # them, and name the wrong engines to copy from, until it has sent each session
+        # once itself.
         asked: set[str] = set()
-        while len(asked) < TEACHERS_MAX:
+        while len(asked) < SNAPSHOT_PEERS_MAX:
             await asyncio.sleep(TICK_S)
-            teacher = self._find_teacher(asked)
-            if teacher is not None:
-                asked.add(teacher.name)
-                if await self._learn_from(teacher):
+            peer = self._choose_peer(asked)
+            if peer is not None:
+                asked.add(peer.name)
+                if await self._load_snapshot_from(peer):
                     return
 
-    def _find_teacher(self, asked: set[str]) -> Member | None:
+    def _choose_peer(self, asked: set[str]) -> Member | None:
         own = self._members.own
         others = [
             member
@@ -197,15 +196,15 @@
         near = [member for member in others if member.zone == own.zone]
         return next(iter(near or others), None)
 
-    async def _learn_from(self, teacher: Member) -> bool:
+    async def _load_snapshot_from(self, peer: Member) -> bool:
         try:
-            news = read_news(await self._pull(teacher.peer_address))
+            news = read_news(await self._pull(peer.peer_address))
         except PeerUnavailable as error:
-            log_event(PLACEMENTS_NOT_LEARNED, peer=teacher.name, reason=error.message)
+            log_event(PLACEMENTS_NOT_LEARNED, peer=peer.name, reason=error.message)
             return False
         if news is None:
-            log_event(PLACEMENTS_NOT_LEARNED, peer=teacher.name, reason="malformed")
+            log_event(PLACEMENTS_NOT_LEARNED, peer=peer.name, reason="malformed")
             return False
-        self._take_news(news)
-        log_event(PLACEMENTS_LEARNED, peer=teacher.name, count=len(news.entries))
+        self._apply_news(news)
+        log_event(PLACEMENTS_LEARNED, peer=peer.name, count=len(news.entries))
         return bool(news.entries)
