--- a/src/tamarackrill/router/channel_pool.py
+++ b/src/tamarackrill/router/channel_pool.py
@@ -1,20 +1,22 @@
-"""Idle connections to endpoints, kept for the next request."""
+"""Pool of idle connections to endpoints."""
 
 from collections.abc import Iterable
 
 from tamarackrill.router.channels import Channel
 
-# Kept for each endpoint: what a router's share of its requests has in flight at once.
+# Idle connections kept per endpoint: as many as this router's share of its requests
+# uses at once.
 IDLE_MAX = 6
-# An endpoint that does not say how long it keeps an idle connection is trusted for this
-# long, below the least time that servers commonly use (5 s).
+# Idle timeout assumed for an endpoint that announces none, well below the shortest that
+# servers commonly use (5 s).
 IDLE_DEFAULT_S = 2.0
-# The endpoint counts from when it sent its answer, and a request takes time to arrive.
+# Safety margin: the endpoint's timeout starts when it sends its response, and the next
+# request takes time to arrive.
 IDLE_SLACK_S = 0.5
 
 
 class ChannelPool:
-    """Idle connections by endpoint."""
+    """Idle connections by endpoint name."""
 
     def __init__(self) -> None:
         self._idle: dict[str, list[Channel]] = {}
@@ -22,8 +24,8 @@
     def take(self, endpoint: str, now_s: float) -> Channel | None:
         """Return a connection that is safe to use, or None.
 
-        One that may close just as a request arrives is not: whether that request has
-        run would then be unknown.
+        A connection that may be closed just as a request arrives is not safe: it would
+        be unknown whether that request has run.
         """
         idle = self._idle.get(endpoint, [])
         while idle:
@@ -37,7 +39,7 @@
     def give_back(
         self, endpoint: str, channel: Channel, idle_max_s: float | None, now_s: float
     ) -> None:
-        """Keep a connection whose request has ended in order."""
+        """Return a connection to the pool after its request completed normally."""
         idle = self._idle.setdefault(endpoint, [])
         if len(idle) >= IDLE_MAX:
             channel.close()
@@ -47,16 +49,16 @@
         idle.append(channel)
 
     def drop(self, endpoint: str) -> None:
-        """Close what is idle to an endpoint whose path has failed."""
+        """Close the idle connections to an endpoint that is unreachable."""
         for channel in self._idle.pop(endpoint, []):
             channel.close()
 
     def retain(self, names: Iterable[str]) -> None:
-        """Close what is idle to endpoints that are not among `names`."""
+        """Close the idle connections to endpoints that are not among `names`."""
         kept = set(names)
         for name in [name for name in self._idle if name not in kept]:
             self.drop(name)
 
     def close(self) -> None:
-        """Close all."""
+        """Close all idle connections."""
         self.retain(())
--- a/src/tamarackrill/router/channels.py
+++ b/src/tamarackrill/router/channels.py
@@ -1,8 +1,8 @@
-"""Connections to endpoints, one request at a time on each.
+"""HTTP/1.1 connections to endpoints, with one request at a time on each.
 
-h11 parses and writes HTTP/1.1 without doing any input or output itself, so that this
-module sees each byte: whether any of a request can have left, whether anything was left
-behind an answer, and whether a connection ended in order or was reset.
+h11 parses and writes HTTP/1.1 without doing any I/O, so that this module handles every
+byte itself.  It knows whether any of a request can have been sent, whether data follows
+a response, and whether a connection was closed properly or reset.
 """
 
 import asyncio
@@ -14,17 +14,17 @@
 
 Headers = list[tuple[str, str]]
 
-# Bytes of an answer that are held for a slow client before the endpoint is held back:
-# two socket reads of asyncio, which keep the path full.
+# Bytes of a response buffered for a slow client before reading from the endpoint is
+# paused: two socket reads of asyncio, which keep the path full.
 UNREAD_MAX_BYTES = 128 * 1024
 
 
 class ChannelError(Exception):
-    """A connection ended, or brought something that is no answer."""
+    """A connection ended too early, or its data isn't a valid response."""
 
 
 class ResponseHead(NamedTuple):
-    """Status and headers of an answer, the names also in lower case."""
+    """Status and headers of a response; `by_name` has lowercase header names."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -37,11 +37,11 @@
     Attributes
     ----------
     requests_sent : int
-        Requests that were sent on it.
+        Number of requests sent on the connection.
     idle_since_s : float
-        When the last answer ended.
+        When the last response ended.
     idle_max_s : float
-        How long the endpoint keeps it open without a request.
+        How long the endpoint keeps an idle connection open.
     """
 
     def __init__(self) -> None:
@@ -56,42 +56,42 @@
         self._is_paused = False
         self._is_ended = False
         self._error: Exception | None = None
-        self._is_spoiled = False
+        self._has_unexpected_data = False
 
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set up the socket."""
+        """Store the transport and enable TCP keepalive."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         probe_silence(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes; those that nobody waits for spoil the connection."""
+        """Process data; without a request in flight, mark the connection unusable."""
         if self._request is None:
-            self._is_spoiled = True
+            self._has_unexpected_data = True
             return
-        self._feed(data)
+        self._receive(data)
 
     def eof_received(self) -> bool:
-        """Take the end of what the endpoint sends."""
-        self._end(None)
+        """Handle the end of the endpoint's data."""
+        self._handle_end(None)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take the end of the connection; an error tells that it was reset."""
-        self._end(exc)
+        """Handle the end of the connection; `exc` is set if it was reset."""
+        self._handle_end(exc)
 
-    # For whoever sends a request
+    # Requests and responses
 
     @property
     def is_open(self) -> bool:
-        """Whether it can take another request."""
+        """Whether another request can be sent."""
         is_live = self._transport is not None and not self._transport.is_closing()
-        return is_live and not self._is_ended and not self._is_spoiled
+        return is_live and not self._is_ended and not self._has_unexpected_data
 
     def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Send a whole request."""
+        """Send a complete request."""
         self._request = h11.Request(method=method, target=target, headers=headers)
         self.requests_sent += 1
         sent = self._http.send(self._request) or b""
@@ -102,12 +102,12 @@
         self._transport.write(sent)
 
     async def read_head(self) -> ResponseHead:
-        """Return status and headers of the next answer.
+        """Return status and headers of the next response.
 
         Raises
         ------
         ChannelError
-            If there will be none.
+            If the connection ends or its data is invalid.
         """
         while True:
             event = await self._next_event()
@@ -122,7 +122,7 @@
         Raises
         ------
         ChannelError
-            If the body was cut.
+            If the body is incomplete or invalid.
         """
         while True:
             event = await self._next_event()
@@ -135,30 +135,33 @@
                 raise ChannelError("the connection ended within an answer")
 
     async def skip_response(self) -> None:
-        """Read a whole answer that belongs to another request, and wait for the next.
+        """Discard a response to another request, and prepare to read the next one.
 
-        An endpoint may send a second answer to a request after the first one; it then
-        stands where the answer to the next request is expected.
+        An endpoint may send a second response to a request; it then arrives where the
+        response to the next request is expected.
         """
         while await self.read_chunk():
             pass
-        behind, _ = self._http.trailing_data
+        trailing, _ = self._http.trailing_data
         assert self._request is not None
-        # A parser takes one answer for each request that it has written.
+        # h11 accepts one response per request, so a new parser gets the request again.
         self._http = h11.Connection(h11.CLIENT)
         self._http.send(self._request)
         for name, value in self._request.headers:
             if name == b"content-length" and int(value):
                 self._http.send(h11.Data(data=bytes(int(value))))
         self._http.send(h11.EndOfMessage())
-        if behind:
-            self._feed(bytes(behind))
+        if trailing:
+            self._receive(bytes(trailing))
 
     def finish(self) -> bool:
-        """End a request whose answer is whole; return whether it may take another."""
+        """End a request after its response; return whether the connection is reusable.
+
+        A connection that isn't reusable is closed.
+        """
         self._request = None
-        behind, _ = self._http.trailing_data
-        is_clean = not behind and self._transport_is_drained()
+        trailing, _ = self._http.trailing_data
+        is_clean = not trailing and self._is_write_buffer_empty()
         if not is_clean or not self.is_open or self._http.states != _BOTH_DONE:
             self.close()
             return False
@@ -166,20 +169,20 @@
         return True
 
     def close(self) -> None:
-        """Close the connection at once; an endpoint at work sees it and stops."""
+        """Abort the connection, so that the endpoint stops work on its request."""
         if self._transport is not None:
             self._transport.abort()
 
-    # Own
+    # Internals
 
-    def _transport_is_drained(self) -> bool:
-        # An endpoint may answer before it has read a long request.  What is still to
-        # be written would be read as the next request.
+    def _is_write_buffer_empty(self) -> bool:
+        # An endpoint may respond before it has read all of a long request.  The bytes
+        # still to be written would be read as the next request.
         return (
             self._transport is not None and not self._transport.get_write_buffer_size()
         )
 
-    def _feed(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self._unread_bytes += len(data)
         try:
             self._http.receive_data(data)
@@ -191,7 +194,7 @@
             self._transport.pause_reading()
         self._wake()
 
-    def _end(self, error: Exception | None) -> None:
+    def _handle_end(self, error: Exception | None) -> None:
         if self._is_ended:
             return
         self._is_ended = True
@@ -220,11 +223,11 @@
                 raise ChannelError(repr(self._error)) from self._error
             if self._is_ended:
                 raise ChannelError("the connection has ended")
-            self._go_on_reading()
+            self._resume_reading()
             self._waiting = asyncio.get_running_loop().create_future()
             await self._waiting
 
-    def _go_on_reading(self) -> None:
+    def _resume_reading(self) -> None:
         self._unread_bytes = 0
         if self._is_paused and self._transport is not None:
             self._is_paused = False
@@ -249,7 +252,7 @@
     Raises
     ------
     OSError
-        If no connection could be made in time; nothing was sent then.
+        If the connection failed or timed out; nothing was sent.
     """
     host, _, port = address.rpartition(":")
     loop = asyncio.get_running_loop()
--- a/src/tamarackrill/router/cut_off.py
+++ b/src/tamarackrill/router/cut_off.py
@@ -1,4 +1,4 @@
-"""Watches whether this router is cut off from a service, for its balancer to know."""
+"""Detects that this router is cut off from a service, for its readiness check."""
 
 from collections.abc import Callable
 
@@ -11,20 +11,20 @@
 
 
 class CutOffMonitor:
-    """Whether endpoints outside the zone can be reached.
+    """Tracks whether this router is cut off; see `decisions.isolation`.
 
     Parameters
     ----------
     zone : str
         Availability zone of this router.
     view : DeploymentView
-        Services and endpoints in force.
+        Current services and endpoints.
     placer : EdgePlacer
-        Knows which paths have failed.
+        Records which endpoints are unreachable.
     members : Members
         Live routers; those of other zones are witnesses.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -44,15 +44,15 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether this router reaches no endpoint of some service."""
+        """Whether the router is cut off from a service and from the other zones."""
         return self._isolation.is_cut_off
 
     def compute_failover_s(self) -> float | None:
-        """Return when clients will be sent to other zones, if that is foreseen."""
+        """Return the time until clients reach other zones, None if not cut off."""
         return self._isolation.compute_failover_s(self._clock())
 
     def list_witnesses(self) -> list[Endpoint]:
-        """Return routers of other zones that are asked before a cut is believed."""
+        """Return the routers of other zones that are probed to confirm a cut."""
         routers = [
             Endpoint(f"router {m.name}", "service", (), m.peer_address, m.zone)
             for m in self._members.list_live()
@@ -60,11 +60,11 @@
         return choose_witnesses(self._zone, routers)
 
     def update(self) -> bool:
-        """Work out whether this router is cut off; return whether that has changed."""
+        """Update `is_cut_off`; return whether it has changed."""
         table = self._view.routes
         reach = self._placer.reach
-        # Without a path that has failed there is nothing to work out, and this is asked
-        # four times a second, over thousands of endpoints in a large deployment.
+        # Skipped if nothing is unreachable: this runs four times a second, over
+        # thousands of endpoints in a large deployment.
         if table is None or not (reach.unreachable or self.is_cut_off):
             return False
         pools = [self._view.list_live(name) for name in table.services]
--- a/src/tamarackrill/router/deployment_view.py
+++ b/src/tamarackrill/router/deployment_view.py
@@ -1,4 +1,4 @@
-"""Manifest and endpoints in force at this router, from the store's objects."""
+"""The manifest and endpoints currently known to this router, from the store."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple
@@ -19,15 +19,15 @@
 
 
 class ObjectReaders(NamedTuple):
-    """How a store spells the objects that routers read.
+    """Names and parsers of the store objects that routers read.
 
     Parameters
     ----------
     manifest_kind, manifest_name, endpoint_kind : str
-        Where the manifest and the endpoints stand.
+        Kind and name of the manifest object, and kind of the endpoint objects.
     read_manifest, read_endpoint : callable
-        Return the product's types; KeyError, TypeError and ValueError tell that an
-        object is malformed.
+        Parse an object; KeyError, TypeError, ValueError or AttributeError mean that it
+        is malformed.
     """
 
     manifest_kind: str
@@ -38,41 +38,41 @@
 
 
 class DeploymentView:
-    """What the newest objects that can be read say.
+    """The manifest and endpoints according to the latest well-formed objects.
 
     Parameters
     ----------
     readers : ObjectReaders
-        Form of the objects.
+        Names and parsers of the objects.
     """
 
     def __init__(self, readers: ObjectReaders) -> None:
         self._readers = readers
         self._endpoints: dict[str, Endpoint] = {}
-        # None once an endpoint has changed.  Made anew when they are asked for, as a
-        # list of thousands of endpoints changes each of them once.
+        # Cache, None after a change.  Rebuilt on the next lookup, not on each change: a
+        # list of thousands of endpoints arrives as one change per endpoint.
         self._pools: dict[str, _Pools] | None = None
-        self._lapses = ExpiryGrace()
+        self._expiry_grace = ExpiryGrace()
         self.routes: RouteTable | None = None
-        self.endpoints_heard = False
+        self.has_endpoint_data = False
 
     @property
     def is_complete(self) -> bool:
-        """Whether there is a manifest, and endpoints have been heard of."""
-        return self.routes is not None and self.endpoints_heard
+        """Whether the manifest and any endpoint object have been received."""
+        return self.routes is not None and self.has_endpoint_data
 
     def observe_store(self, is_lost: bool, now_s: float) -> None:
-        """Take whether the store answers."""
-        self._lapses.observe_store(is_lost, now_s)
+        """Record whether the store is unreachable."""
+        self._expiry_grace.observe_store(is_lost, now_s)
 
     def take(self, item: ObjectVersion, now_s: float) -> None:
-        """Put a newer version of an object in force, or a deletion."""
+        """Apply a newer version of an object, or its deletion."""
         try:
             self._take(item, now_s)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            # Were a malformed object to end the task that follows the store, no later
-            # change would come into force here.  The manifest before it stays; an
-            # endpoint's entry that can't be read names none to send work to.
+            # A malformed object must not end the task that follows the store, or this
+            # router would get no later change.  The previous manifest stays in force;
+            # an endpoint with a malformed entry gets no work.
             log_event(
                 OBJECT_FAULTY,
                 kind=item.kind,
@@ -86,7 +86,7 @@
     def _take(self, item: ObjectVersion, now_s: float) -> None:
         readers = self._readers
         if item.kind == readers.endpoint_kind:
-            self.endpoints_heard = True
+            self.has_endpoint_data = True
             self._take_endpoint(item, now_s)
         elif item.name == readers.manifest_name and item.value is not None:
             manifest = readers.read_manifest(item.value)
@@ -104,7 +104,7 @@
             self._remove(name, now_s)
             return
         endpoint = self._readers.read_endpoint(name, item.value)
-        self._lapses.observe_present(name)
+        self._expiry_grace.observe_present(name)
         if self._endpoints.get(name) != endpoint:
             log_event(
                 ENDPOINT_KNOWN,
@@ -120,14 +120,14 @@
         known = self._endpoints.get(name)
         if known is None:
             return
-        if known.state == "live" and self._lapses.observe_removed(name, now_s):
+        if known.state == "live" and self._expiry_grace.observe_removed(name, now_s):
             log_event(ENDPOINT_HELD, endpoint=name)
             return
         self._drop(name)
 
     def expire(self, now_s: float) -> None:
-        """Take entries as gone that have not come back in time."""
-        for name in self._lapses.expire(now_s):
+        """Remove endpoints whose grace period is over."""
+        for name in self._expiry_grace.expire(now_s):
             self._drop(name)
 
     def _drop(self, name: str) -> None:
@@ -136,7 +136,7 @@
             log_event(ENDPOINT_GONE, endpoint=name)
 
     def list_endpoints(self) -> list[Endpoint]:
-        """Return all endpoints known now."""
+        """Return all known endpoints."""
         return list(self._endpoints.values())
 
     def find_pool(self, service: str) -> EndpointPool:
@@ -144,7 +144,7 @@
         return self._find_pools(service).live
 
     def find_full_pool(self, service: str) -> EndpointPool:
-        """Return all endpoints of a service, also those that leave."""
+        """Return all endpoints of a service, including those that are leaving."""
         return self._find_pools(service).all
 
     def _find_pools(self, service: str) -> "_Pools":
--- a/src/tamarackrill/router/load_reports.py
+++ b/src/tamarackrill/router/load_reports.py
@@ -1,7 +1,7 @@
-"""Asks the engines that this router owns for their load.
+"""Polls the load reports of the engines that this router owns.
 
-Only the owner asks: were all routers to, 370 of them would send 290,000 requests a
-second to 780 workers.  The others hear the loads from the owner.
+Only the owner polls an engine: 370 routers polling 780 workers would send 290,000
+requests a second.  The other routers get the loads from the owner by gossip.
 """
 
 import asyncio
@@ -15,26 +15,27 @@
 from tamarackrill.router.owners import Owners
 from tamarackrill.router.placing import Placer
 
-# Two owned engines at full size, at some 350 bytes each, are 0.35 KB/s.
-LOOK_EVERY_S = 2.0
+# At full size a router owns two engines; at about 350 bytes per report this costs
+# 0.35 KB/s.
+POLL_INTERVAL_S = 2.0
 LOAD_PATH = "/v1/load"
 LOAD_TIMEOUT_S = 1.0
 OK = 200
 
 
 class LoadReader:
-    """Reads load reports until cancelled.
+    """Polls the load reports of the owned engines.
 
     Parameters
     ----------
     client : CurlAsyncHTTPClient
-        Not owned.
+        HTTP client; closed by the caller.
     owners : Owners
-        Says which engines to ask, and takes the reports as their owner.
+        Lists the owned engines, and uses the reports for reservations.
     placer : Placer
-        Takes the reports for this router's own choices.
+        Uses the reports for this router's own placements.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -50,21 +51,21 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Ask all owned engines again and again."""
+        """Poll all owned engines periodically until cancelled."""
         while True:
-            await self.look()
-            await asyncio.sleep(LOOK_EVERY_S)
+            await self.poll()
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def look(self) -> None:
-        """Ask all owned engines once."""
+    async def poll(self) -> None:
+        """Poll all owned engines once."""
         engines = [e for e in self._owners.list_owned() if e.kind == "engine"]
-        await asyncio.gather(*map(self._look, engines))
+        await asyncio.gather(*map(self._poll, engines))
 
-    async def _look(self, endpoint: Endpoint) -> None:
-        # Taken as counted when it was asked for.  What is sent meanwhile may then be
-        # counted twice for a moment, and never not at all.
+    async def _poll(self, endpoint: Endpoint) -> None:
+        # A report counts as of the time of its request: requests sent meanwhile may
+        # briefly be counted twice, but none is missed.
         asked_s = self._clock()
-        load = await self._ask(endpoint)
+        load = await self._fetch_load(endpoint)
         if load is None:
             return
         now_s = self._clock()
@@ -72,7 +73,7 @@
         loads.observe_report(endpoint.name, load, asked_s, now_s)
         self._placer.placement.observe_report(endpoint.name, load, asked_s, now_s)
 
-    async def _ask(self, endpoint: Endpoint) -> int | None:
+    async def _fetch_load(self, endpoint: Endpoint) -> int | None:
         request = HTTPRequest(
             f"http://{endpoint.address}{LOAD_PATH}",
             connect_timeout=LOAD_TIMEOUT_S,
@@ -87,7 +88,7 @@
 
 
 def _read_load(text: bytes) -> int | None:
-    """Return the requests in flight that a report tells, or None if it tells none."""
+    """Return the requests in flight according to a report, None if malformed."""
     try:
         report = json.loads(text)
         running, waiting = report["running"], report.get("waiting", 0)
--- a/src/tamarackrill/router/outlets.py
+++ b/src/tamarackrill/router/outlets.py
@@ -1,25 +1,25 @@
-"""How the pieces of an answer go from one owner to the next, and are held back.
+"""Interface for passing on the chunks of a response, with backpressure.
 
-Pieces are handed on by plain calls and not by tasks that wake each other: a streamed
-token passes libcurl, the reply and the caller's connection in one turn of the loop.
-docs/design/streams.md has what that saves.
+Chunks are passed on by direct calls, not between tasks: a streamed token goes through
+libcurl, the reply and the caller's connection in one iteration of the event loop.  See
+docs/design/streams.md for what that saves.
 """
 
 from collections.abc import Callable
 
 
 class Outlet:
-    """Takes pieces, and tells its source when it has room again.
+    """Receives chunks, and notifies their source when it can accept more.
 
     Attributes
     ----------
     on_writable : callable
-        Set by the source; called once there is room after `take` returned False.
+        Set by the source; called when it may send again after `take` returned False.
     """
 
     def __init__(self) -> None:
         self.on_writable: Callable[[], None] = lambda: None
 
     def take(self, piece: bytes) -> bool:
-        """Take a piece, always; return whether there is room for another one."""
+        """Accept a chunk in any case; return whether the source may send another."""
         raise NotImplementedError
--- a/src/tamarackrill/router/owners.py
+++ b/src/tamarackrill/router/owners.py
@@ -1,4 +1,4 @@
-"""Asks the owners of endpoints for reservations, and answers for those owned here."""
+"""Requests reservations from the owners of endpoints, and serves those owned here."""
 
 import asyncio
 import itertools
@@ -31,7 +31,7 @@
 
 
 class Ticket(NamedTuple):
-    """A reservation that was granted; `owner` is empty for one that nobody counts."""
+    """Identifies a reservation at its owner; `owner` is empty if there is none."""
 
     owner: str
     number: int
@@ -41,7 +41,10 @@
 
 
 class Owners:
-    """Reservations of this router, as a home and as an owner.
+    """Client and server of the reservation protocol between routers.
+
+    As the home router of a chat it requests reservations, as the owner of endpoints it
+    grants them; see `decisions.reservations`.
 
     Parameters
     ----------
@@ -50,13 +53,13 @@
     load_factor : float
         Multiple of the mean load that no endpoint exceeds.
     list_endpoints : callable
-        Returns all endpoints known now.
+        Returns all known endpoints.
     send : callable
         Sends a datagram to a peer address.
     peer_keys : tuple of str
         Keys shared by the routers.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -73,42 +76,45 @@
         self._send = send
         self._peer_keys = peer_keys
         self._clock = clock
-        # A router that restarts under its name must not meet the tickets that it had
-        # before: an ask would pass for a repeated one and not be counted.
+        # Random, so that a router that restarts under its name doesn't reuse earlier
+        # ticket numbers: its requests would pass for repeated ones and not be counted.
         self._numbers = itertools.count(secrets.randbits(TICKET_BITS))
-        self._waiting: dict[int, asyncio.Future[ReservationReply]] = {}
-        self._present: set[str] = set()
-        self._basis: tuple[list[tuple[str, tuple[str, ...]]], list[str]] = ([], [])
+        self._pending: dict[int, asyncio.Future[ReservationReply]] = {}
+        self._known_routers: set[str] = set()
+        self._owners_input: tuple[list[tuple[str, tuple[str, ...]]], list[str]] = (
+            [],
+            [],
+        )
         self._owner_names: dict[str, str] = {}
         self.reservations = Reservations(load_factor)
 
     async def run(self) -> None:
-        """End what is over, again and again."""
+        """Expire reservations once a second until cancelled."""
         while True:
             self.expire()
             await asyncio.sleep(EXPIRE_EVERY_S)
 
     def expire(self) -> None:
-        """End reservations that have lapsed or whose router is gone."""
+        """End reservations that have expired or whose router is gone."""
         now_s = self._clock()
-        # A router that is leaving or only suspected still has its calls in flight.
+        # A router that is leaving or only suspected still has calls in flight.
         present = {member.name for member in self._members.list_all()}
-        for name in self._present - present:
+        for name in self._known_routers - present:
             self.reservations.release_router(name, now_s)
-        self._present = present
+        self._known_routers = present
         self.reservations.expire(now_s)
 
     async def reserve(
         self, endpoint: Endpoint, lifetime_s: float, is_last: bool
     ) -> tuple[ReservationReply | None, Ticket]:
-        """Ask the owner of an endpoint for a reservation.
+        """Request a reservation from the owner of an endpoint.
 
         Returns
         -------
         grant : ReservationReply or None
-            None if the owner did not answer in time.
+            None if the owner did not reply in time, or doesn't know the endpoint.
         ticket : Ticket
-            For `release`.
+            To be passed to `release`.
         """
         number = next(self._numbers)
         owner = self._find_owner(endpoint)
@@ -119,7 +125,7 @@
         future: asyncio.Future[ReservationReply] = (
             asyncio.get_running_loop().create_future()
         )
-        self._waiting[number] = future
+        self._pending[number] = future
         self._send_message(owner, ask)
         ticket = Ticket(owner.name, number)
         try:
@@ -131,11 +137,11 @@
                 owner=owner.name,
                 waited_s=RESERVATION_TIMEOUT_S,
             )
-            # The ask may have been granted and only its answer lost.
+            # The owner may have granted it and only the reply was lost.
             self.release(ticket)
             return None, UNCOUNTED
         finally:
-            del self._waiting[number]
+            del self._pending[number]
 
     def release(self, ticket: Ticket) -> None:
         """End a reservation."""
@@ -148,12 +154,12 @@
                 self._send_message(member, Release(own, ticket.number))
 
     def take_datagram(self, datagram: bytes, source: str) -> bool:
-        """Handle a datagram; return whether it was one between owners."""
+        """Process a datagram; return whether it was a reservation message."""
         message = decode_owner_message(datagram, self._peer_keys)
         if isinstance(message, Ask):
             self._answer(message)
         elif isinstance(message, Answer):
-            future = self._waiting.get(message.ticket)
+            future = self._pending.get(message.ticket)
             if future is not None and not future.done():
                 future.set_result(
                     ReservationReply(message.is_granted, message.in_flight)
@@ -171,7 +177,7 @@
         return [e for e in self._list_endpoints() if owners.get(e.name, own) == own]
 
     def digest(self) -> list[EndpointLoad]:
-        """Return the loads of the endpoints owned here, for the gossip."""
+        """Return the loads of the endpoints owned here, for gossip."""
         names = [endpoint.name for endpoint in self.list_owned()]
         return self.reservations.digest(names, self._clock())
 
@@ -185,8 +191,8 @@
         now_s = self._clock()
         endpoints = {endpoint.name: endpoint for endpoint in self._list_endpoints()}
         endpoint = endpoints.get(ask.endpoint)
-        # This router may not have heard of the endpoint yet; the home then goes by
-        # its own estimate rather than leaving a new endpoint idle.
+        # This router may not know the endpoint yet.  Without a reply the home router
+        # uses its own estimate, so that a new endpoint doesn't stay idle.
         if endpoint is None:
             return None
         return self.reservations.reserve(
@@ -214,14 +220,17 @@
     def _list_owners(self, routers: list[str]) -> dict[str, str]:
         """Return the owner of each endpoint.
 
-        Kept until endpoints or routers change: 780 rankings of 370 routers take a
-        good part of a second, and are asked for every second.
+        Cached until endpoints or routers change: ranking 370 routers for each of 780
+        endpoints takes a good part of a second, and this is needed every second.
         """
         endpoints = self._list_endpoints()
-        basis = ([(endpoint.name, endpoint.serves) for endpoint in endpoints], routers)
-        if basis != self._basis:
+        current = (
+            [(endpoint.name, endpoint.serves) for endpoint in endpoints],
+            routers,
+        )
+        if current != self._owners_input:
             sizes = Counter(name for e in endpoints for name in e.serves)
-            self._basis = basis
+            self._owners_input = current
             self._owner_names = {
                 e.name: find_owner(e, max(sizes[name] for name in e.serves), routers)
                 for e in endpoints
--- a/src/tamarackrill/router/suspension.py
+++ b/src/tamarackrill/router/suspension.py
@@ -1,13 +1,13 @@
-"""Time that a VM stood still, which its steady clock doesn't count."""
+"""Time for which a VM was suspended, which its monotonic clock doesn't count."""
 
 import time
 
 
 def read_clock() -> float:
-    """Return a steady time that goes on while the VM is suspended."""
+    """Return a monotonic time that includes suspension of the VM."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def find_suspended_s() -> float:
-    """Return for how long the VM was suspended in all, since its start."""
+    """Return the total time for which the VM was suspended since it booted."""
     return read_clock() - time.monotonic()
--- a/src/tamarackrill/router/upstream.py
+++ b/src/tamarackrill/router/upstream.py
@@ -1,8 +1,7 @@
-"""Calls to endpoints and to other routers, through tornado's curl client.
+"""HTTP requests to endpoints and other routers, through tornado's curl client.
 
-An `Exchange` is one call: it hands the answer on piece by piece, holds a fast
-endpoint back for a slow reader, can be cancelled at once, and tells whether any
-byte of the request can have left.
+An `Exchange` is one request and its response: it streams the body with backpressure,
+can be cancelled at once, and knows whether any byte of the request can have been sent.
 """
 
 import asyncio
@@ -18,23 +17,23 @@
 
 from tamarackrill.router.outlets import Outlet
 
-# Unread bytes of one answer at which libcurl is told to stop reading its socket.
-# Two reads of libcurl's default buffer of 16 KiB keep the pipe full.
+# Unread bytes of a response at which libcurl stops reading from the socket.  Two reads
+# of libcurl's default buffer of 16 KiB keep the connection busy.
 UNREAD_MAX_BYTES = 32 * 1024
 CONNECT_TIMEOUT_S = 1.0
-# A handle costs about 5 kB; 370 nodes at 6,500 requests/s have some 200 in use.
+# A handle takes about 5 kB; a fleet of 370 nodes at 6,500 requests/s uses about 200.
 CLIENTS_MAX = 1000
 
 
 class UpstreamError(Exception):
-    """An exchange ended without a whole answer.
+    """An exchange ended without a complete response.
 
     Parameters
     ----------
     reason : str
-        What libcurl said.
+        Error message, usually of libcurl.
     sent : bool
-        False only if no byte of the request can have reached the other side.
+        False only if no byte of the request can have reached the server.
     """
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -44,29 +43,29 @@
 
 
 class Head(NamedTuple):
-    """Status and headers of an answer."""
+    """Status and headers of a response."""
 
     status: int
     headers: dict[str, str]
 
 
 class Exchange:
-    """One call and its answer, as it comes in.
+    """One request and its streamed response; it starts when it is created.
 
     Parameters
     ----------
     client : CurlAsyncHTTPClient
-        Not owned.
+        HTTP client; closed by the caller.
     method, url : str
-        The call.
+        Method and URL of the request.
     headers : mapping of str to str
-        Headers of the call.
+        Headers of the request.
     body : bytes
-        Body of the call.
+        Body of the request.
     timeout_s : float
-        The exchange fails if it is not over by then.
+        Time limit for the whole exchange.
     repeatable : bool
-        Whether the call may reach the other side twice.
+        Whether the request may reach the server twice.
     """
 
     def __init__(
@@ -86,7 +85,7 @@
         self._is_full = False
         self._paused = False
         self._cancelled = False
-        self._over = False
+        self._is_finished = False
         self._error: UpstreamError | None = None
         self._changed = asyncio.Event()
         self._head: asyncio.Future[Head] = asyncio.get_running_loop().create_future()
@@ -108,41 +107,41 @@
             allow_nonstandard_methods=True,
             decompress_response=False,
         )
-        request.on_end = self._note_sent
+        request.on_end = self._record_sent_bytes
         self._task = asyncio.ensure_future(self._fetch(request))
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes of the body that were received and not yet read."""
+        """Bytes of the body that are received but not yet passed on."""
         return self._unread_bytes
 
     async def head(self) -> Head:
-        """Return status and headers as soon as they are there.
+        """Return status and headers as soon as they are received.
 
         Raises
         ------
         UpstreamError
-            If the exchange ended before.
+            If the exchange ended before that.
         """
         return await self._head
 
     async def pump(self, outlet: Outlet) -> None:
-        """Hand the body on piece by piece, as it comes.
+        """Pass the body on to an outlet as it is received, until the response ends.
 
         Parameters
         ----------
         outlet : Outlet
-            Gets the pieces.  While it has no room the other side is held back.
+            Receives the chunks.  While it is full, reading from the server is paused.
 
         Raises
         ------
         UpstreamError
-            If the answer was cut; what was handed on is then not the whole answer.
+            If the response was cut off; the outlet then got only part of it.
         """
         outlet.on_writable = self._resume
         self._outlet = outlet
         self._resume()
-        while not self._over or self._chunks:
+        while not self._is_finished or self._chunks:
             self._changed.clear()
             await self._changed.wait()
         if self._outlet_error is not None:
@@ -151,46 +150,46 @@
             raise self._error
 
     def cancel(self) -> None:
-        """Close the connection now; the endpoint sees that its reader is gone."""
+        """Close the connection immediately, so that the server notices it."""
         self._cancelled = True
         self._chunks.clear()
         self._changed.set()
-        if self._over or self._curl is None:
+        if self._is_finished or self._curl is None:
             return
-        # libcurl asks whether to go on only when something arrives or once a
-        # second.  A shut socket makes it look at once, so that an engine does not
-        # go on generating for a caller who has left.
+        # libcurl calls the progress callback only when data arrives or once a second.
+        # Shutting down the socket makes it react at once, so that an engine doesn't
+        # keep generating for a client that has disconnected.
         fd = self._curl.getinfo(pycurl.ACTIVESOCKET)
         if fd >= 0:
             with socket.socket(fileno=os.dup(fd)) as active:
-                _shut(active)
+                _shut_down(active)
 
     async def close(self) -> None:
-        """Cancel if still running, and wait until the connection is let go."""
-        if not self._over:
+        """Cancel if still running, and wait until the connection is released."""
+        if not self._is_finished:
             self.cancel()
         await asyncio.wait([self._task])
 
     def _prepare(self, curl: Any) -> None:
         self._curl = curl
-        # tornado hands header lines on at a later turn of its loop, so that the
-        # first bytes of the body could overtake them.
+        # tornado processes header lines in a later iteration of its event loop, so the
+        # first bytes of the body could arrive before them.
         curl.setopt(pycurl.HEADERFUNCTION, self._take_header_line)
         curl.setopt(pycurl.WRITEFUNCTION, self._write)
-        curl.setopt(pycurl.XFERINFOFUNCTION, self._go_on)
+        curl.setopt(pycurl.XFERINFOFUNCTION, self._check_cancelled)
         curl.setopt(pycurl.NOPROGRESS, 0)
-        # libcurl by itself sends a request a second time when a reused connection
-        # closes before any byte of the answer: the other side then counts two
-        # arrivals for one call.  It does not on a connection made for the call.
-        fresh = 0 if self._repeatable else 1
-        curl.setopt(pycurl.FRESH_CONNECT, fresh)
-        curl.setopt(pycurl.FORBID_REUSE, fresh)
-
-    def _note_sent(self) -> None:
+        # libcurl resends a request by itself if a reused connection closes before any
+        # byte of the response, so that the server may get the request twice.  It never
+        # does so on a new connection.
+        is_fresh = 0 if self._repeatable else 1
+        curl.setopt(pycurl.FRESH_CONNECT, is_fresh)
+        curl.setopt(pycurl.FORBID_REUSE, is_fresh)
+
+    def _record_sent_bytes(self) -> None:
         if self._curl is not None:
             self._sent_bytes = int(self._curl.getinfo(pycurl.REQUEST_SIZE))
 
-    def _go_on(self, *progress: int) -> int:
+    def _check_cancelled(self, *progress: int) -> int:
         return 1 if self._cancelled else 0
 
     def _write(self, chunk: bytes) -> int:
@@ -198,10 +197,10 @@
             return 0
         self._set_head()
         if self._outlet is not None and not self._is_full:
-            self._hand_on(chunk)
+            self._forward(chunk)
             return 0 if self._cancelled else len(chunk)
-        # An engine can be faster than its caller.  Without a bound the router
-        # would hold whole answers for each slow caller and run out of memory.
+        # Without a limit the router would buffer the whole response of a fast engine
+        # for each slow client and run out of memory.
         if self._unread_bytes >= UNREAD_MAX_BYTES:
             self._paused = True
             return int(pycurl.WRITEFUNC_PAUSE)
@@ -209,13 +208,13 @@
         self._unread_bytes += len(chunk)
         return len(chunk)
 
-    def _hand_on(self, chunk: bytes) -> None:
+    def _forward(self, chunk: bytes) -> None:
         assert self._outlet is not None
         try:
             self._is_full = not self._outlet.take(chunk)
         except Exception as error:  # noqa: BLE001
-            # libcurl would print an exception of its callback and go on; the reader
-            # has to see it, and no more may be read.
+            # pycurl would only print an exception raised in its callback and continue.
+            # `pump` has to raise it, and nothing more may be read.
             self._outlet_error = error
             self._cancelled = True
 
@@ -224,8 +223,8 @@
         while self._chunks and not self._is_full:
             chunk = self._chunks.popleft()
             self._unread_bytes -= len(chunk)
-            self._hand_on(chunk)
-        if self._over or self._cancelled:
+            self._forward(chunk)
+        if self._is_finished or self._cancelled:
             self._changed.set()
         elif self._paused and not self._is_full and self._curl is not None:
             self._paused = False
@@ -250,14 +249,14 @@
         try:
             await self._client.fetch(request, raise_error=False)
         except CurlError as error:
-            # An endpoint that reads a request on a kept connection and crashes leaves
-            # libcurl to connect anew, which fails; the error then tells of the
-            # connection alone, though the request has left and may have run.
+            # If an endpoint reads a request on a reused connection and crashes, libcurl
+            # reconnects and fails.  The error then reports only the failed connection,
+            # although the request was sent and may have run.
             sent = self._sent_bytes > 0 or error.errno not in _NOTHING_SENT
             self._error = UpstreamError(str(error), sent)
-        except Exception as error:  # noqa: BLE001 - an answer must end, come what may
+        except Exception as error:  # noqa: BLE001 - the exchange must always end
             self._error = UpstreamError(repr(error), sent=True)
-        self._over = True
+        self._is_finished = True
         self._curl = None
         if self._error is not None and not self._head.done():
             self._head.set_exception(self._error)
@@ -268,13 +267,13 @@
 
 
 class _ObservedRequest(HTTPRequest):
-    """A request that hears of its end while libcurl's handle is still its own."""
+    """A request with a callback that runs while its libcurl handle is still valid."""
 
     on_end: Callable[[], None] = staticmethod(lambda: None)
 
 
 class _ObservingClient(CurlAsyncHTTPClient):
-    """Tells requests of their end before their handle serves another one."""
+    """Calls a request's `on_end` before its libcurl handle is reused."""
 
     def fetch_impl(
         self, request: HTTPRequest, callback: Callable[[HTTPResponse], None]
@@ -289,7 +288,7 @@
         super().fetch_impl(request, finish)
 
 
-# Errors of libcurl that come before any byte of the request can have left.
+# libcurl errors that occur before any byte of the request can have been sent.
 _NOTHING_SENT = (
     pycurl.E_URL_MALFORMAT,
     pycurl.E_COULDNT_RESOLVE_HOST,
@@ -297,7 +296,7 @@
 )
 
 
-def _shut(active: socket.socket) -> None:
+def _shut_down(active: socket.socket) -> None:
     try:
         active.shutdown(socket.SHUT_RDWR)
     except OSError:
@@ -305,18 +304,18 @@
 
 
 def make_client() -> CurlAsyncHTTPClient:
-    """Return a client of its own for exchanges; the caller closes it."""
+    """Return a new client for exchanges; the caller closes it."""
     return _ObservingClient(
         force_instance=True, max_clients=CLIENTS_MAX, max_body_size=1 << 40
     )
 
 
 def close_client(client: CurlAsyncHTTPClient) -> None:
-    """Close a client, whatever it still has in flight."""
+    """Close a client, including its requests in flight."""
     client.close()
-    # Closing libcurl's handles makes libcurl ask for one more timeout, after tornado
-    # has dropped the one it had.  It would find the client closed and leave a
-    # traceback in the log of a process that lives on, as that of an embedded router.
+    # Closing the handles makes libcurl request one more timeout after tornado has
+    # removed its own.  It would fire on a closed client and log a traceback if the
+    # process continues, as with an embedded router.
     if client._timeout is not None:
         client.io_loop.remove_timeout(client._timeout)
         client._timeout = None
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -190,7 +190,7 @@
         reader = LoadReader(client, owners, placer, clock)
         for running, wanted in ((3, 3), (5, 5), ("many", 5), (-1, 0)):
             state.running = running
-            await reader.look()
+            await reader.poll()
             assert owners.digest() == [("engine-0", wanted)]
             assert placer.placement.loads.estimate(["engine-0"], 1.0) == [wanted]
         client.close()
