--- a/tests/test_cut_zone.py
+++ b/tests/test_cut_zone.py
@@ -1,4 +1,4 @@
-"""A zone that is cut off from the platform and from the other zones."""
+"""An availability zone that is cut off from the platform and other zones."""
 
 import signal
 
@@ -27,11 +27,11 @@
     return call(router.address, "/services/s/book", {}, headers=headers)
 
 
-def test_cut_zone_serves_what_it_can_and_agrees_again():
-    # The hall loses its line: its routers see neither the platform nor the routers
-    # elsewhere (which stand still here, as a cut looks from inside).  Shop counters
-    # must go on with lookups and chats; a booking, which another hall might make as
-    # well, must be refused at once and truthfully.
+def test_cut_zone_serves_what_it_can_and_converges_again():
+    # A zone loses its network link: its routers reach neither the platform nor routers
+    # of other zones (simulated by SIGSTOP).  Lookups and chats must still be served.  A
+    # non-idempotent booking, which another zone might run as well, must be refused at
+    # once as not run.
     with FleetProcesses() as fleet:
         fleet.add_engine("engine-1")
         worker = fleet.add_service("worker-1")
@@ -57,7 +57,7 @@
         assert refused.status == 503
         assert refused.json()["run"] == "not_run"
         assert "quote-1" not in worker.look()["arrivals"]
-        # Meanwhile an operator changes the contract, and the cut heals.
+        # The contract changes during the partition, and the partition heals.
         version = fleet.put_contract({**CONTRACT, "weight": 7})
         fleet.platform.set_faults()
         far.send(signal.SIGCONT)
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_message_comes_back_only_with_a_key(message):
+def test_message_decodes_only_with_a_valid_key(message):
     datagram = codec.encode_owner_message(message, KEYS[1:])
     assert codec.decode_owner_message(datagram, KEYS) == message
     assert codec.decode_owner_message(datagram, KEYS[:1]) is None
@@ -40,15 +40,15 @@
         assert codec.decode_owner_message(datagram[:length], KEYS) is None
 
 
-def test_proof_of_another_kind_of_message_is_not_taken():
-    # Gossip comes in by the same socket with the same keys.  A datagram of it that
-    # happened to parse would reserve or release what nobody asked for.
+def test_signature_of_another_message_type_is_rejected():
+    # Gossip uses the same socket and keys.  A gossip datagram that happened to parse as
+    # a reservation message would reserve or release at random.
     payload = codec.encode_owner_message(MESSAGES[2], KEYS)[DIGEST_BYTES:]
     assert codec.decode_owner_message(sign(payload, KEYS[0]) + payload, KEYS) is None
 
 
 class Network:
-    """Two routers whose datagrams arrive at once, but for those that are lost."""
+    """Two routers with immediate delivery of datagrams, except of the lost types."""
 
     def __init__(self):
         self.now_s = 0.0
@@ -93,9 +93,9 @@
 
 
 @pytest.mark.parametrize("lost", [codec.Ask, codec.Answer])
-def test_lost_datagram_leaves_no_reservation_behind(lost):
-    # The owner can't be reached, or only its answer is lost.  The caller's request has
-    # to go on, and the owner must not count a request that it will never see end.
+def test_lost_datagram_leaves_no_reservation(lost):
+    # The owner is unreachable, or only its reply is lost.  The request continues
+    # without a reservation, so the owner must not keep one that nobody would release.
     async def run():
         network = Network()
         network.lost = (lost,)
@@ -107,10 +107,10 @@
     asyncio.run(run())
 
 
-def test_reservations_outlive_a_router_that_leaves_but_not_one_that_is_gone():
-    # A router that is told to stop finishes its calls for minutes.  Taken as ended at
-    # once, their engines would be filled a second time; kept when the router has
-    # failed, the engines would stay closed to the callers of all the others.
+def test_reservations_last_while_a_router_leaves_but_end_when_it_is_gone():
+    # A router that is stopping finishes its calls for minutes.  If their reservations
+    # ended at once, engines would get twice their load; if those of a failed router
+    # were kept, its engines would stay full for all other routers.
     async def run():
         network = Network()
         owner = find_owner(POOL[0], len(POOL), ["a", "b"])
@@ -127,7 +127,7 @@
 
 
 def _find_chats(routers, home, count):
-    """Return chats of one home router whose first engine is engine-1."""
+    """Return chats with the given home router and engine-1 as their first engine."""
     engines = [endpoint.name for endpoint in POOL]
     names = (f"t\nchat-{number}" for number in range(10_000))
     found = (
@@ -148,9 +148,9 @@
 
 
 def test_bound_holds_over_two_routers():
-    # Twenty chats of one engine come back at once, half of them through each of two
-    # routers.  Each router keeps the bound by what it sent itself, and the engine gets
-    # twice as much: the callers behind it wait while three engines have room.
+    # Twenty chats of one engine return at once, half of them through each of two
+    # routers.  If each router applied the bound to its own requests only, the engine
+    # would get twice the bound while three engines have free slots.
     with FleetProcesses() as fleet:
         engines = [fleet.add_engine(e.name, "m", "--slots=30") for e in POOL]
         fleet.put_contract(CONTRACT)
@@ -175,9 +175,9 @@
             assert set(statuses) == {200}
 
 
-def test_new_owner_learns_what_runs_from_the_engines():
+def test_new_owner_learns_loads_from_the_engines():
     # The owner fails while calls of other routers run.  The new owner has granted none
-    # of them; taking the engine for idle it would fill it a second time.
+    # of them; if it took the engine for idle, the engine would get twice its load.
     async def run():
         state = EngineState("engine-0")
         server, address = listen(make_engine(state))
@@ -199,10 +199,10 @@
     asyncio.run(run())
 
 
-def test_calls_wait_where_another_router_has_filled_the_engine():
-    # One router has filled the only engine; the other has not heard of it and lets its
-    # calls pass the queue.  The owner says that the engine is full.  These callers have
-    # time to wait, and a refusal would send them away from a queue that is empty.
+def test_calls_queue_at_an_engine_filled_by_another_router():
+    # One router has filled the only engine; the other doesn't know this and admits its
+    # calls past the queue, until the owner reports the engine as full.  The calls must
+    # then be queued rather than refused: they have time, and the queue is empty.
     with FleetProcesses() as fleet:
         engine = fleet.add_engine("engine-1", "m", "--slots=4")
         fleet.put_contract(CONTRACT)
--- a/tests/test_placement_gossip.py
+++ b/tests/test_placement_gossip.py
@@ -1,4 +1,4 @@
-"""Routers of the platform's interface tell each other which engines hold a session."""
+"""Gossip between routers about which engines cache a session's prompt."""
 
 import asyncio
 import itertools
@@ -15,8 +15,8 @@
 NEWCOMER = "w3"
 
 
-def find_parts_that_move():
-    """Return a session that rendezvous hashing gives to the newcomer."""
+def find_moving_parts():
+    """Return a session that rendezvous hashing assigns to the newcomer."""
     for number in itertools.count():
         parts = [PromptPart("kind", 800), PromptPart(f"s{number}", 4000)]
         if rank(find_key(parts), (*ENGINES, NEWCOMER))[0] == NEWCOMER:
@@ -46,12 +46,12 @@
 
 
 @pytest.mark.parametrize("starts", ["before", "after"])
-def test_session_stays_at_its_engine_whichever_router_is_asked(starts):
-    # An engine is added, and rendezvous hashing gives it a session that one router has
-    # sent to another engine.  The client comes back through a router that has never
-    # seen the session, or that has only just been started; its prompt of thousands of
-    # tokens would be read again by the new engine.
-    parts = find_parts_that_move()
+def test_session_stays_at_its_engine_through_any_router(starts):
+    # A new engine is the first in rendezvous order for a session that one router has
+    # sent to another engine.  The client returns through a router that has never seen
+    # the session, or has only just started.  Without gossip that router would send the
+    # prompt of thousands of tokens to the new engine, which would have to read it.
+    parts = find_moving_parts()
     prompt = write_prompt(parts)
 
     async def act(fleet):
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -17,8 +17,8 @@
 )
 from tamarackrill.testing.daemon import listen
 
-PIECE = b"x" * 8192
-PIECES = 2000
+CHUNK = b"x" * 8192
+CHUNKS = 2000
 
 
 class _FastHandler(RequestHandler):
@@ -26,10 +26,10 @@
 
     async def get(self):
         type(self).written = 0
-        for _ in range(PIECES):
-            self.write(PIECE)
+        for _ in range(CHUNKS):
+            self.write(CHUNK)
             await self.flush()
-            type(self).written += len(PIECE)
+            type(self).written += len(CHUNK)
 
 
 class _SlowReader(Outlet):
@@ -68,16 +68,16 @@
     return asyncio.run(run())
 
 
-def test_slow_reader_holds_a_fast_endpoint_back():
-    # A caller on a slow line asks for a long answer.  Without a bound the router
-    # would take in all of it and, with many such callers, run out of memory.
+def test_slow_reader_pauses_a_fast_endpoint():
+    # A client on a slow connection requests a long response.  Without backpressure the
+    # router would buffer all of it and, with many such clients, run out of memory.
     async def act(exchange):
         await exchange.head()
         reader = _SlowReader()
         pumping = asyncio.create_task(exchange.pump(reader))
         held = 0
-        # The endpoint writes until libcurl has stopped reading and the buffers of
-        # the sockets are full: then its count stands still over many turns.
+        # The endpoint writes until libcurl has stopped reading and the socket buffers
+        # are full; its count then stays the same over many event loop iterations.
         seen, same = -1, 0
         while same < 200:
             await asyncio.sleep(0)
@@ -92,13 +92,13 @@
 
     held, size = _run("/fast", act)
     assert held < UNREAD_MAX_BYTES + 2 * 16384
-    assert size == len(PIECE) * PIECES
+    assert size == len(CHUNK) * CHUNKS
 
 
 @pytest.mark.parametrize(("path", "sent"), [("/cut", True), ("/nobody", False)])
-def test_failed_exchange_tells_whether_anything_was_sent(path, sent):
-    # An answer is cut, or nobody listens.  Only in the second case may the caller
-    # be told that its request was not run.
+def test_failed_exchange_reports_whether_anything_was_sent(path, sent):
+    # The response is cut off, or the connection is refused.  Only in the second case
+    # may the client be told that its request has not run.
     async def act(exchange):
         with pytest.raises(UpstreamError) as caught:
             await exchange.head()
@@ -119,22 +119,22 @@
     assert _run("/fast", act)
 
 
-async def _answer_once_and_end(reader, writer):
-    """Answer the first request, read the second, and end as a crashing engine does."""
+async def _answer_once_and_crash(reader, writer):
+    """Answer the first request, read the second, and return as if crashing."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
     await reader.readuntil(b"\r\n\r\n")
 
 
-def test_request_that_crashed_its_endpoint_over_a_kept_connection_was_sent():
-    # An engine reads a request on a connection that was kept from an earlier call, and
-    # its process ends. libcurl tries again by itself, finds nobody listening, and
-    # reports only that. The caller would be told that its request has not run, and
-    # the request, which counts no crash, would take down one engine after the other.
+def test_request_that_crashed_its_endpoint_on_a_reused_connection_was_sent():
+    # An engine reads a request on a reused connection and crashes.  libcurl reconnects
+    # by itself and reports only that the connection is refused.  Taken as not sent, the
+    # request would be reported as not run, and would crash one engine after another
+    # without being counted as a suspect.
     async def run():
         def serve(reader, writer):
             async def end():
-                await _answer_once_and_end(reader, writer)
+                await _answer_once_and_crash(reader, writer)
                 server.close()
                 writer.transport.abort()
 
@@ -183,17 +183,16 @@
     )
 
 
-def test_innocent_request_is_not_blamed_for_an_engine_that_is_ending():
-    # An engine crashes and its process is closing its sockets: nobody listens any more,
-    # and a connection that was kept from a load report is still open. A request that
-    # went out on it would be lost with the engine and counted as what crashed it;
-    # after two such engines its caller would be refused for good.
+def test_request_is_not_blamed_for_an_engine_that_already_crashed():
+    # A crashing engine has closed its listening socket, but a connection kept from a
+    # load report is still open.  A request sent on it would be lost and counted as the
+    # cause of the crash; after two such engines it would be refused permanently.
     async def run():
         def serve(reader, writer):
-            serving.append(asyncio.ensure_future(_end_after_one(reader, writer)))
+            serving.append(asyncio.ensure_future(_crash_after_one(reader, writer)))
 
-        async def _end_after_one(reader, writer):
-            await _answer_once_and_end(reader, writer)
+        async def _crash_after_one(reader, writer):
+            await _answer_once_and_crash(reader, writer)
             writer.transport.abort()
 
         serving = []
