--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -1,4 +1,4 @@
-"""The application object of a router on the platform: owns its resources."""
+"""Application object of a router on the platform, which owns its resources."""
 
 import asyncio
 import contextlib
@@ -72,26 +72,29 @@
 from tamarackrill.router.suspension import find_suspended_s
 from tamarackrill.router.upstream import close_client, make_client
 
-# The store answers in 4 ms, and in a quarter of a second when it is slow.
-STORE_CALL_MAX_S = 0.5
-STORE_CALL_SHARE = 0.25
-# A store that was away is found back within this time; each call has its price.
-STORE_RETRY_MAX_S = 0.8
-# Endpoints that are replaced one after the other change their entries in pairs.
-STORE_PAUSE_S = 0.1
-# A new router lets callers wait so long for its first manifest and endpoints, which a
-# store that is well tells within some tens of ms.
-FIRST_NEWS_MAX_S = 0.3
-# A bulletin a time costs a router of a zone of fifteen 9 KB/s inside the zone.
-HOUSEKEEPING_EVERY_S = 0.25
-# A balancer asks once a second and takes a router out after two misses; until then new
-# connections still arrive and are served.
-STILL_SERVED_S = 2.6
-# As long as an endpoint is given to take a connection: a router that is late by this
-# much takes endpoints for unreached that are not.
-LATE_LOGGED_S = 0.15
-# Left of the time between SIGTERM and SIGKILL when what is still in flight is cut.
-STOP_SLACK_S = 0.3
+# Timeout of a store call: at most this long, and this share of `news_max_s`. The store
+# responds in 4 ms, and in 250 ms when it is slow.
+STORE_CALL_TIMEOUT_MAX_S = 0.5
+STORE_CALL_TIMEOUT_SHARE = 0.25
+# Maximum backoff between calls to an unavailable store, so that its return is noticed
+# within this time; a shorter one would cost more calls.
+STORE_RETRY_BACKOFF_MAX_S = 0.8
+# Pause between a response of the store and the next call, so that changes in quick
+# succession cost one call: a rolling replacement changes endpoint entries in pairs.
+STORE_CALL_PAUSE_S = 0.1
+# Maximum time that a new router keeps callers waiting for its first manifest and
+# endpoints, which a healthy store delivers within some tens of milliseconds.
+INITIAL_CONFIG_WAIT_S = 0.3
+# One bulletin per interval costs a router in a zone of fifteen 9 KB/s inside the zone.
+HOUSEKEEPING_INTERVAL_S = 0.25
+# Time after the stop signal during which requests are still served: a balancer checks
+# once a second and removes a router after two misses, so new connections still arrive.
+DRAIN_SERVING_S = 2.6
+# Event-loop lag that is logged. It equals the connect timeout of endpoints, so a router
+# lagging this much takes reachable endpoints for unreachable.
+LOOP_LAG_LOGGED_S = 0.15
+# Time left until SIGKILL when requests still in flight are cut off.
+STOP_MARGIN_S = 0.3
 
 READERS = ObjectReaders(
     MANIFEST_KIND, MANIFEST_NAME, ENDPOINT_KIND, read_manifest, read_endpoint
@@ -106,19 +109,20 @@
     settings : PlatformSettings
         Checked settings.
     peer_keys : tuple of str
-        Prove the messages between routers; the first signs, all verify.
+        Keys that authenticate messages between routers; the first one signs, all of
+        them verify.
     metrics_port : int
-        Where metrics are served.
+        Port of the metrics endpoint.
     flush_log : callable, optional
-        Writes what the log holds back, as far as its reader takes it.
+        Writes buffered log lines, as far as their reader accepts them.
     peer_address : str, optional
-        ``host:port`` at which other routers reach this one, if it isn't what it listens
-        at.
+        ``host:port`` at which other routers reach this one, if it differs from the
+        listen address.
 
     Notes
     -----
-    Life cycle: `start` opens the sockets and starts the tasks, `drain` lets what is in
-    flight end, `stop` closes all that `start` opened.
+    Life cycle: `start` opens the sockets and starts the tasks, `drain` waits for
+    requests in flight, `stop` closes everything that `start` opened.
     """
 
     def __init__(
@@ -135,12 +139,13 @@
         self.clock = time.monotonic
         self._peer_keys = peer_keys
         self._tasks: list[asyncio.Task[None]] = []
-        self._knows_all = asyncio.Event()
+        self._configured = asyncio.Event()
         self._servers: list[HTTPServer] = []
         self.metrics = Metrics()
         self.store = ConfigurationStore()
         self.view = DeploymentView(READERS)
-        # Above that of any earlier process of this name, as nothing is kept.
+        # No state survives a restart, so the wall clock makes this number higher than
+        # that of any earlier process of the same name.
         self._session = int(time.time() * 1000)
         self._endpoint_news = EndpointNews(hash_reporter(settings.name), self._session)
         self.placer = EdgePlacer(
@@ -155,7 +160,7 @@
             Member(settings.name, address, settings.zone, peer_address=address)
         )
         self._reporter_zones: dict[int, str] = {}
-        self._hand_on = RelayBudget(settings.link_bytes_per_s)
+        self._relay_budget = RelayBudget(settings.link_bytes_per_s)
         self._fleet_size = FleetSize()
         self.cut_off = CutOffWatch(
             settings.zone, self.view, self.placer, self.members, self.clock
@@ -177,7 +182,7 @@
         Parameters
         ----------
         listener : socket.socket, optional
-            Listens for callers already; opened here otherwise.
+            Socket that already listens for callers; opened here by default.
         """
         settings = self.settings
         self._peer_socket = PeerSocket(self.metrics.count)
@@ -187,7 +192,7 @@
         self._store_client = CurlAsyncHTTPClient(force_instance=True)
         self._router_client = make_client()
         self._make_placement_teller()
-        self._listen_routers()
+        self._listen_for_peers()
         self._listen_readiness()
         self._make_configurer()
         await self._start_gossip()
@@ -195,10 +200,10 @@
         await self.configurer.start()
         listener = listener or open_listener(settings.callers_address)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FIRST_NEWS_MAX_S):
-                await self._knows_all.wait()
+            async with asyncio.timeout(INITIAL_CONFIG_WAIT_S):
+                await self._configured.wait()
         self.server.server.add_sockets([listener])
-        self._tasks.append(asyncio.create_task(self._keep_house()))
+        self._tasks.append(asyncio.create_task(self._run_housekeeping()))
         log_event(
             ROUTER_STARTED,
             router=settings.name,
@@ -211,7 +216,7 @@
         metrics, view = self.metrics, self.view
         metrics.add_gauge("ready", lambda: {"": float(self.is_ready())})
         metrics.add_gauge("in_flight", lambda: {"": len(self.server.in_flight)})
-        metrics.add_gauge("repeats_left", self.flow.count_repeats_left)
+        metrics.add_gauge("repeats_left", self.flow.list_retries_left)
         metrics.add_gauge("endpoints", self._count_endpoints)
         metrics.add_gauge("routers", lambda: {"": len(self.members.list_live())})
         metrics.add_gauge(
@@ -229,13 +234,13 @@
         found["unreached"] = len(self.placer.reach.find_unreachable(endpoints))
         return dict(found)
 
-    def _listen_routers(self) -> None:
+    def _listen_for_peers(self) -> None:
         handlers = list_handlers(
             self.store,
             self._peer_keys,
             self.metrics.count,
             self.placement_teller.encode_known,
-            lambda size_bytes: self._hand_on.take(size_bytes, self.clock()),
+            lambda size_bytes: self._relay_budget.take(size_bytes, self.clock()),
         )
         peers = Application(handlers)
         settings = self.settings
@@ -245,9 +250,9 @@
         self._listen(metrics, f"{settings.ip}:{self._metrics_port}", "metrics port")
 
     def _listen_readiness(self) -> None:
-        question = make_readiness_page(self.is_ready)
+        readiness = make_readiness_page(self.is_ready)
         place = self.settings.find_place("readiness_address")
-        self._listen(question, self.settings.readiness_address, place)
+        self._listen(readiness, self.settings.readiness_address, place)
 
     def _listen(self, application: Application, address: str, place: str) -> None:
         host, _, port = address.rpartition(":")
@@ -265,24 +270,26 @@
             self._store_client,
             STORE_FORM,
             StoreTiming(
-                call_s=min(STORE_CALL_MAX_S, STORE_CALL_SHARE * news_max_s),
+                call_s=min(
+                    STORE_CALL_TIMEOUT_MAX_S, STORE_CALL_TIMEOUT_SHARE * news_max_s
+                ),
                 watch_wait_s=WATCH_MAX_SHARE * news_max_s,
             ),
         )
         self.configurer = Configurer(
             self.store,
             platform,
-            self._take_objects,
+            self._apply_objects,
             self._pull,
             self.clock,
             (MANIFEST_KIND, ENDPOINT_KIND),
-            STORE_RETRY_MAX_S,
+            STORE_RETRY_BACKOFF_MAX_S,
             (MANIFEST_KIND,),
-            STORE_PAUSE_S,
+            STORE_CALL_PAUSE_S,
         )
-        self.configurer.on_store = self._note_store
+        self.configurer.on_store = self._observe_store
         self.server.is_outdated = self._is_outdated
-        platform.on_call = self._note_store_call
+        platform.on_call = self._record_store_call
 
     def _is_outdated(self) -> bool:
         if self.configurer.has_news(MANIFEST_KIND):
@@ -290,7 +297,7 @@
         ages_s = self.store_news.find_ages_s(self.clock())
         return ages_s.get(MANIFEST_KIND, math.inf) > self.settings.news_max_s
 
-    def _note_store_call(self, call: StoreCall) -> None:
+    def _record_store_call(self, call: StoreCall) -> None:
         self.metrics.record_store_call(
             call.kind, call.outcome, call.duration_s, call.size_bytes
         )
@@ -328,22 +335,22 @@
     def _find_reporter_zone(self, reporter: int) -> str | None:
         return self._reporter_zones.get(reporter)
 
-    def _note_store(self, is_lost: bool) -> None:
+    def _observe_store(self, is_lost: bool) -> None:
         self.view.observe_store(is_lost, self.clock())
 
-    def _take_objects(self, taken: list[ObjectVersion]) -> None:
+    def _apply_objects(self, versions: list[ObjectVersion]) -> None:
         now_s = self.clock()
-        for item in taken:
+        for item in versions:
             self.view.take(item, now_s)
-        self._forget_gone()
+        self._drop_removed_endpoints()
         if self.view.is_complete:
-            self._knows_all.set()
+            self._configured.set()
         table = self.view.routes
         if table is not None:
-            self.server.limit_idle(table.manifest.limits.idle_timeout_s)
+            self.server.set_idle_timeout(table.manifest.limits.idle_timeout_s)
         self.store_news.tell()
 
-    def _forget_gone(self) -> None:
+    def _drop_removed_endpoints(self) -> None:
         for name in self.placer.take_endpoints(self.clock()):
             self.flow.attempts.pool.drop(name)
         self.flow.attempts.pool.retain(e.name for e in self.view.list_endpoints())
@@ -388,9 +395,9 @@
             seeds,
         )
         self.gossiper.subscribe(self.configurer.hear_peer)
-        self.gossiper.subscribe(self._hear_peer)
+        self.gossiper.subscribe(self._observe_peer)
         self.gossiper.add_source(self._collect_entries)
-        self.flow.attempts.tell_crash = self._tell_crash
+        self.flow.attempts.on_crash = self._broadcast_crash
         self._peer_socket.handlers.append(self.store_news.take_datagram)
         self._peer_socket.handlers.append(self.placement_teller.take_datagram)
         self._peer_socket.handlers.append(self.gossiper.take_datagram)
@@ -400,14 +407,14 @@
     def _collect_entries(self) -> PiggybackedEntries:
         return PiggybackedEntries(tuple(self.placer.poison.digest(self.clock())))
 
-    def _hear_peer(self, heard: PeerStateReceived) -> None:
+    def _observe_peer(self, received: PeerStateReceived) -> None:
         now_s = self.clock()
-        for count in heard.entries.crashes:
-            self.placer.poison.observe_peer(heard.sender, *count, now_s)
+        for count in received.entries.crashes:
+            self.placer.poison.observe_peer(received.sender, *count, now_s)
 
-    def _tell_crash(self, fingerprint: int) -> None:
-        # Gossip takes seconds to reach all, and the client of a request that crashes
-        # endpoints sends it again at once, to any router.
+    def _broadcast_crash(self, fingerprint: int) -> None:
+        # Gossip takes seconds to reach all routers, and the client of a request that
+        # crashes endpoints retries at once, at any router.
         crashes = len(
             self.placer.poison.find_crashed_endpoints(fingerprint, self.clock())
         )
@@ -416,16 +423,17 @@
                 entries = PiggybackedEntries((CrashCount(fingerprint, crashes),))
                 self.gossiper.report(member.name, entries)
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            due_s = self.clock() + HOUSEKEEPING_EVERY_S
-            await asyncio.sleep(HOUSEKEEPING_EVERY_S)
-            self._note_lag(self.clock() - due_s)
+            due_s = self.clock() + HOUSEKEEPING_INTERVAL_S
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
+            self._record_loop_lag(self.clock() - due_s)
             self.view.expire(self.clock())
             self.flow.attempts.paths.ask_due()
             if self.cut_off.look():
-                # A kept connection stays with its router, whatever the balancer does.
-                self.server.sends_elsewhere = self.cut_off.is_cut_off
+                # The balancer directs only new connections; a kept-alive one stays with
+                # this router until the router closes it.
+                self.server.sheds_connections = self.cut_off.is_cut_off
             self._fleet_size.observe(len(self.members.list_live()), self.clock())
             self.store_news.take_members()
             self._reporter_zones = {
@@ -434,25 +442,25 @@
             self.store_news.keep_telling()
             self._flush_log()
 
-    def _note_lag(self, lag_s: float) -> None:
+    def _record_loop_lag(self, lag_s: float) -> None:
         self.metrics.record_loop_lag(lag_s)
-        if lag_s >= LATE_LOGGED_S:
+        if lag_s >= LOOP_LAG_LOGGED_S:
             log_event(ROUTER_LATE, lag_s=round(lag_s, 4))
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send new connections here."""
+        """Return whether the balancer may send new connections to this router."""
         if self.server.is_leaving or self.cut_off.is_cut_off:
             return False
         return self.view.is_complete
 
     async def drain(self, told_s: float | None = None) -> None:
-        """Let what is in flight end, within the time that the platform gives.
+        """Let requests in flight complete within the platform's grace period.
 
         Parameters
         ----------
         told_s : float, optional
-            When the router was told to stop, which may be long before it had started;
-            now by default.
+            When the router was told to stop, possibly long before it had started; now
+            by default.
         """
         if told_s is None:
             told_s = self.clock()
@@ -460,17 +468,17 @@
         self.gossiper.leave()
         in_flight = len(self.server.in_flight)
         log_event(ROUTER_LEAVING, router=self.settings.name, in_flight=in_flight)
-        served_s = min(STILL_SERVED_S, self.settings.grace_s / 2)
-        await asyncio.sleep(told_s + served_s - self.clock())
-        self.server.takes_work = False
-        until_s = told_s + self.settings.grace_s - STOP_SLACK_S
-        await self.server.server.finish(until_s - self.clock())
-        left_s = until_s - self.clock()
+        serving_s = min(DRAIN_SERVING_S, self.settings.grace_s / 2)
+        await asyncio.sleep(told_s + serving_s - self.clock())
+        self.server.accepts_requests = False
+        end_s = told_s + self.settings.grace_s - STOP_MARGIN_S
+        await self.server.server.finish(end_s - self.clock())
+        left_s = end_s - self.clock()
         if self.server.in_flight and left_s > 0:
             await asyncio.wait(self.server.in_flight, timeout=left_s)
 
     async def stop(self) -> None:
-        """Close all that `start` opened."""
+        """Close everything that `start` opened."""
         for server in (self.server.server, *self._servers):
             server.stop()
             await server.close_all_connections()
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request of the platform's interface at one endpoint."""
+"""Single attempts to serve a request on the platform's interface at an endpoint."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,82 +32,85 @@
 from tamarackrill.router.metrics import Metrics
 from tamarackrill.router.paths import CONNECT_TIMEOUT_S, Paths
 
-# Answers that belong to earlier requests, read over before the connection is given up.
-FOREIGN_ANSWERS_MAX = 2
+# Responses to earlier requests that are skipped before the connection is closed.
+MISMATCHED_ANSWERS_MAX = 2
 OK_MIN, OK_MAX = 200, 299
-SERVER_FAILED = 500
-# Tells that the request's time was over, not that its endpoint is out of order.
-DEADLINE_PASSED = 504
-MISPLACED = 421
+SERVER_ERROR_MIN = 500
+# Reports that the request's deadline has passed, not that the endpoint is faulty.
+GATEWAY_TIMEOUT = 504
+MISDIRECTED_REQUEST = 421
 
 
-class WholeAnswer(NamedTuple):
-    """A whole answer of an endpoint."""
+class CompleteAnswer(NamedTuple):
+    """Complete response of an endpoint, which is not a stream."""
 
     head: AnswerHead
     body: bytes
 
 
-class Result(NamedTuple):
-    """How an attempt went."""
+class AttemptResult(NamedTuple):
+    """Outcome of an attempt.
+
+    `is_broken` tells that the connection broke or the response was invalid.
+    """
 
     outcome: Outcome
     detail: str = ""
-    answer: WholeAnswer | None = None
+    answer: CompleteAnswer | None = None
     first_s: float | None = None
     status: int = 0
     is_broken: bool = False
 
 
-class Progress:
-    """State of one request over its attempts."""
+class RequestProgress:
+    """State of a request across its attempts."""
 
     def __init__(self, call: EdgeCall, reply: EdgeReply) -> None:
         self.call = call
         self.reply = reply
-        self.tried = AttemptHistory()
+        self.history = AttemptHistory()
         self.avoid: set[str] = set()
         self.stream = EventStream(call.headers.last_event_id)
         self.last_endpoint = ""
-        self.failed_answer: WholeAnswer | None = None
+        self.failed_answer: CompleteAnswer | None = None
 
 
 class EdgeAttempts:
-    """Sends requests to endpoints and relays their answers.
+    """Sends requests to endpoints and forwards their responses.
 
     Parameters
     ----------
     placer : EdgePlacer
-        Hears how each attempt went.
-    count_repeats_left : callable
-        Returns what the budget still allows for a request.
-    note_sent : callable
-        Called with a request that is sent, and whether it was before.
+        Is told the result of each attempt.
+    count_retries_left : callable
+        Returns the retries left in the budget of a request's service.
+    on_sent : callable
+        Called with each request that is sent, and whether this is a retry.
     metrics : Metrics
-        Counts and times.
+        Records counters and durations.
     clock : callable
         Returns the present time.
 
     Attributes
     ----------
-    tell_crash : callable
-        Called with the fingerprint of a request that has crashed an endpoint.
+    on_crash : callable
+        Called with the fingerprint of a request that crashed an endpoint.
     """
 
     def __init__(
         self,
         placer: EdgePlacer,
-        count_repeats_left: Callable[[EdgeCall], float],
-        note_sent: Callable[[EdgeCall, bool], None],
+        count_retries_left: Callable[[EdgeCall], float],
+        on_sent: Callable[[EdgeCall, bool], None],
         metrics: Metrics,
         clock: Callable[[], float],
     ) -> None:
         self._placer = placer
-        self._count_repeats_left = count_repeats_left
-        self._note_sent = note_sent
+        self._count_retries_left = count_retries_left
+        self._on_sent = on_sent
         self._metrics = metrics
         self._clock = clock
-        self._checks: set[asyncio.Task[None]] = set()
+        self._crash_checks: set[asyncio.Task[None]] = set()
         self.pool = ChannelPool()
         self.paths = Paths(
             placer.reach,
@@ -116,22 +119,22 @@
             self.pool.drop,
             clock,
         )
-        self.tell_crash: Callable[[int], None] = lambda fingerprint: None
+        self.on_crash: Callable[[int], None] = lambda fingerprint: None
 
-    async def run(self, progress: Progress, placed: EdgePlaced) -> Result:
-        """Send a request to an endpoint; an answer to it is written to the client.
+    async def run(self, progress: RequestProgress, placed: EdgePlaced) -> AttemptResult:
+        """Send a request to an endpoint and forward its response to the client.
 
         Raises
         ------
         tornado.iostream.StreamClosedError
-            If the client has left.
+            If the client has disconnected.
         """
         call = progress.call
         endpoint = placed.endpoint
         progress.last_endpoint = endpoint.name
         started_s = self._clock()
-        channel = await self._open(call, placed)
-        if isinstance(channel, Result):
+        channel = await self._open_channel(call, placed)
+        if isinstance(channel, AttemptResult):
             return channel
         log_event(
             CALL_SENT,
@@ -141,10 +144,10 @@
             reason=placed.reason,
             load=placed.load,
             bound=placed.bound,
-            time_left_s=call.limit_s - started_s,
+            time_left_s=call.deadline_s - started_s,
             copy_from="" if placed.copy_from is None else placed.copy_from.name,
         )
-        self._note_sent(call, progress.tried.was_delivered)
+        self._on_sent(call, progress.history.was_delivered)
         self._placer.start(call, placed, started_s)
         is_clean = False
         suspecting = asyncio.get_running_loop().call_later(
@@ -160,135 +163,147 @@
             self._placer.finish(call, endpoint, self._clock())
             if not is_clean:
                 channel.close()
-        self._judge(call, placed, result)
+        self._report_result(call, placed, result)
         return result
 
-    async def _open(self, call: EdgeCall, placed: EdgePlaced) -> Channel | Result:
+    async def _open_channel(
+        self, call: EdgeCall, placed: EdgePlaced
+    ) -> Channel | AttemptResult:
         now_s = self._clock()
         endpoint = placed.endpoint
-        # A connection that was kept may be closed by the endpoint just as a request is
-        # sent, and whether that has run is then unknown.  One that may not run twice
-        # would be lost; a new connection costs it a millisecond.
+        # The endpoint may close a pooled connection just as a request is sent, so that
+        # it is unknown whether the request has run.  A request that may not run twice
+        # would fail, so it gets a new connection, which takes a millisecond.
         if call.route.may_repeat:
             kept = self.pool.take(endpoint.name, now_s)
             if kept is not None:
                 return kept
-        timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, call.limit_s - now_s))
+        timeout_s = min(CONNECT_TIMEOUT_S, max(0.001, call.deadline_s - now_s))
         try:
             return await open_channel(endpoint.address, timeout_s)
         except OSError as error:
             self.paths.note_failure(endpoint, error)
             self._metrics.count("connects_failed", endpoint.zone)
-            return Result("not_sent", repr(error))
+            return AttemptResult("not_sent", repr(error))
 
     async def _exchange(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         placed: EdgePlaced,
         channel: Channel,
         started_s: float,
-        note_first: Callable[[], None],
-    ) -> Result:
+        on_first_byte: Callable[[], None],
+    ) -> AttemptResult:
         call = progress.call
         self._send(progress, placed, channel)
-        limit_s = find_header_deadline_s(
+        header_deadline_s = find_header_deadline_s(
             call.route,
-            progress.tried.sent,
+            progress.history.sent,
             self._has_other(progress, placed),
-            self._count_repeats_left(call),
+            self._count_retries_left(call),
             started_s,
-            call.limit_s,
+            call.deadline_s,
         )
         try:
-            async with asyncio.timeout_at(limit_s):
-                head, facts = await self._read_own_head(call, channel)
-            # How long a stream goes on after this says nothing against its engine.
-            note_first()
+            async with asyncio.timeout_at(header_deadline_s):
+                head, answer_headers = await self._read_matching_head(call, channel)
+            # The duration of a stream after this is no sign that its engine has failed.
+            on_first_byte()
             first_s = self._clock() - started_s
             self._placer.observe_first(call, placed.endpoint, self._clock())
             self.paths.note_answer(placed.endpoint)
-            if facts.load is not None:
-                self._placer.observe_load(placed, facts.load, self._clock())
-            async with asyncio.timeout_at(call.limit_s + RESPONSE_TRANSIT_S):
-                result = await self._take(progress, placed, channel, head, facts)
+            if answer_headers.load is not None:
+                self._placer.observe_load(placed, answer_headers.load, self._clock())
+            async with asyncio.timeout_at(call.deadline_s + RESPONSE_TRANSIT_S):
+                result = await self._handle_answer(
+                    progress, placed, channel, head, answer_headers
+                )
         except TimeoutError:
-            return Result("lost", "silent")
+            return AttemptResult("lost", "silent")
         except (ChannelBroken, EventStreamError) as error:
-            return Result("lost", str(error), is_broken=True)
+            return AttemptResult("lost", str(error), is_broken=True)
         if channel.finish():
             self.pool.give_back(
-                placed.endpoint.name, channel, facts.idle_max_s, self._clock()
+                placed.endpoint.name, channel, answer_headers.idle_max_s, self._clock()
             )
         return result._replace(first_s=first_s, status=head.status)
 
-    def _send(self, progress: Progress, placed: EdgePlaced, channel: Channel) -> None:
+    def _send(
+        self, progress: RequestProgress, placed: EdgePlaced, channel: Channel
+    ) -> None:
         call = progress.call
         has_body = bool(call.body) or call.method in ("POST", "PUT", "PATCH")
-        source = placed.copy_from
+        copy_source = placed.copy_from
         headers = write_request(
             call.headers,
             placed.endpoint.name,
             call.team,
-            call.limit_s - self._clock(),
+            call.deadline_s - self._clock(),
             len(call.body) if has_body else None,
             progress.stream.last_id,
-            None if source is None else source.address,
+            None if copy_source is None else copy_source.address,
             placed.priority,
         )
         channel.send(call.method, call.target, headers, call.body)
 
-    async def _read_own_head(
+    async def _read_matching_head(
         self, call: EdgeCall, channel: Channel
     ) -> tuple[AnswerHead, AnswerHeaders]:
-        for _ in range(FOREIGN_ANSWERS_MAX + 1):
+        for _ in range(MISMATCHED_ANSWERS_MAX + 1):
             head = await channel.read_head()
-            facts = read_answer(head.by_name)
-            if facts.request_id == call.request_id:
-                return head, facts
-            # On a new connection a refusal without an id can be of no other request.
-            if not facts.request_id and facts.has_not_run and channel.used == 1:
-                return head, facts
+            answer_headers = read_answer(head.by_name)
+            if answer_headers.request_id == call.request_id:
+                return head, answer_headers
+            # On a new connection, a refusal without an id belongs to this request.
+            if (
+                not answer_headers.request_id
+                and answer_headers.has_not_run
+                and channel.used == 1
+            ):
+                return head, answer_headers
             self._metrics.count("foreign_answers")
             await channel.skip_answer()
-        raise ChannelBroken("answers of other requests")
+        raise ChannelBroken("responses belong to other requests")
 
-    async def _take(
+    async def _handle_answer(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         placed: EdgePlaced,
         channel: Channel,
         head: AnswerHead,
-        facts: AnswerHeaders,
-    ) -> Result:
-        if head.status == MISPLACED or facts.has_not_run:
+        answer_headers: AnswerHeaders,
+    ) -> AttemptResult:
+        if head.status == MISDIRECTED_REQUEST or answer_headers.has_not_run:
             await _read_body(channel)
-            outcome: Outcome = "misplaced" if head.status == MISPLACED else "not_run"
-            return Result(outcome, f"status {head.status}")
+            outcome: Outcome = (
+                "misplaced" if head.status == MISDIRECTED_REQUEST else "not_run"
+            )
+            return AttemptResult(outcome, f"status {head.status}")
         is_ok = OK_MIN <= head.status <= OK_MAX
-        if is_ok and (not facts.is_signed or facts.is_encoded):
-            raise ChannelBroken("an answer without proof or with an encoding")
-        if is_ok and facts.is_event_stream:
+        if is_ok and (not answer_headers.is_signed or answer_headers.is_encoded):
+            raise ChannelBroken("response is unsigned or has a content encoding")
+        if is_ok and answer_headers.is_event_stream:
             await self._relay(progress, placed, channel, head)
-            return Result("answered")
+            return AttemptResult("answered")
         body = await _read_body(channel)
-        whole = WholeAnswer(head, body)
-        if head.status >= SERVER_FAILED:
-            return Result("failed", f"status {head.status}", whole)
+        answer = CompleteAnswer(head, body)
+        if head.status >= SERVER_ERROR_MIN:
+            return AttemptResult("failed", f"status {head.status}", answer)
         if progress.reply.has_begun:
-            raise ChannelBroken(f"a stream went on with status {head.status}")
+            raise ChannelBroken(f"stream resumed with status {head.status}")
         await progress.reply.begin(head.status, list_passed_back(head.headers), body)
-        return Result("answered")
+        return AttemptResult("answered")
 
     async def _relay(
         self,
-        progress: Progress,
+        progress: RequestProgress,
         placed: EdgePlaced,
         channel: Channel,
         head: AnswerHead,
     ) -> None:
         reply, stream = progress.reply, progress.stream
-        # Half an event of an endpoint that was lost may be held, also where the client
-        # has got nothing yet.
+        # The buffer may hold part of an event of an endpoint that failed, even if the
+        # client has received nothing yet.
         stream.resume()
         last_s: float | None = None
         while True:
@@ -308,62 +323,64 @@
                 return
 
     async def _read_piece(
-        self, progress: Progress, placed: EdgePlaced, channel: Channel
+        self, progress: RequestProgress, placed: EdgePlaced, channel: Channel
     ) -> bytes:
         has_begun = progress.reply.has_begun
         wait_s = find_chunk_timeout_s(
-            progress.call.route, progress.tried.sent, has_begun
+            progress.call.route, progress.history.sent, has_begun
         )
         while True:
             try:
                 async with asyncio.timeout(wait_s):
                     return await channel.read_piece()
             except TimeoutError:
-                # Given up with nobody to go on, the stream would end for its client in
-                # the middle, where the engine may only be slow.
+                # Without another endpoint, giving up would cut the client's stream,
+                # though the engine may only be slow.
                 if self._has_other(progress, placed):
                     raise
 
-    def _has_other(self, progress: Progress, placed: EdgePlaced) -> bool:
+    def _has_other(self, progress: RequestProgress, placed: EdgePlaced) -> bool:
         avoid = progress.avoid | {placed.endpoint.name}
         return self._placer.has_endpoint(progress.call, avoid, self._clock())
 
-    def _judge(self, call: EdgeCall, placed: EdgePlaced, result: Result) -> None:
+    def _report_result(
+        self, call: EdgeCall, placed: EdgePlaced, result: AttemptResult
+    ) -> None:
         now_s = self._clock()
         if result.is_broken:
-            self._check_crash(call, placed)
+            self._start_crash_check(call, placed)
         if result.outcome == "misplaced":
             self._placer.observe_misplaced(placed.endpoint, now_s)
         if result.outcome == "answered":
-            is_ok = result.status < SERVER_FAILED
+            is_ok = result.status < SERVER_ERROR_MIN
             self._placer.observe_result(call, placed, is_ok, result.first_s, now_s)
         elif (
             result.outcome in ("failed", "lost")
-            and result.status != DEADLINE_PASSED
-            and now_s < call.limit_s
+            and result.status != GATEWAY_TIMEOUT
+            and now_s < call.deadline_s
         ):
             self._placer.observe_result(call, placed, False, None, now_s)
 
-    def _check_crash(self, call: EdgeCall, placed: EdgePlaced) -> None:
-        task = asyncio.create_task(self._ask_crashed(call, placed))
-        self._checks.add(task)
-        task.add_done_callback(self._checks.discard)
+    def _start_crash_check(self, call: EdgeCall, placed: EdgePlaced) -> None:
+        task = asyncio.create_task(self._check_crashed(call, placed))
+        self._crash_checks.add(task)
+        task.add_done_callback(self._crash_checks.discard)
 
-    async def _ask_crashed(self, call: EdgeCall, placed: EdgePlaced) -> None:
-        # An answer can break off though its endpoint lives.  Only if nobody listens
-        # there any more has the process ended, and the request may be why.
+    async def _check_crashed(self, call: EdgeCall, placed: EdgePlaced) -> None:
+        # A response may break off although the endpoint is alive.  Only a refused
+        # connection shows that its process has ended, maybe because of the request.
         try:
             channel = await open_channel(placed.endpoint.address, CONNECT_TIMEOUT_S)
         except OSError as error:
             self.paths.note_failure(placed.endpoint, error)
             if isinstance(error, ConnectionRefusedError):
-                self._note_crash(call, placed.endpoint.name)
+                self._record_crash(call, placed.endpoint.name)
         else:
             channel.close()
 
-    def _note_crash(self, call: EdgeCall, name: str) -> None:
+    def _record_crash(self, call: EdgeCall, name: str) -> None:
         if self._placer.poison.observe_crash(call.fingerprint, name, self._clock()):
-            self.tell_crash(call.fingerprint)
+            self.on_crash(call.fingerprint)
 
 
 async def _read_body(channel: Channel) -> bytes:
--- a/src/tamarackrill/router/edge_calls.py
+++ b/src/tamarackrill/router/edge_calls.py
@@ -1,4 +1,4 @@
-"""A client's request on the platform's interface, matched to its route."""
+"""Client requests on the platform's interface, matched to their routes."""
 
 import hashlib
 from typing import NamedTuple
@@ -11,30 +11,30 @@
 
 
 class EdgeCall(NamedTuple):
-    """One request of a client.
+    """A client request and the route, service and deadline that apply to it.
 
     Parameters
     ----------
     method, target : str
-        As the client sent them; the target holds the query.
+        As the client sent them; the target includes the query.
     headers : CallHeaders
-        What its headers say.
+        Parsed headers.
     body : bytes
-        The whole body.
+        Complete body.
     route : Route
-        The route that it matched.
+        Matching route.
     service : str
-        The service of the route that runs it.
+        Service chosen among those of the route.
     team : str or None
-        Holder of the key; None on a route without keys.
+        Owner of the API key; None on a route without keys.
     arrived_s : float
-        When its headers had been read.
-    limit_s : float
-        When the client's deadline or the route's timeout is reached.
+        When the headers were read.
+    deadline_s : float
+        The client's deadline or the end of the route's timeout, whichever is earlier.
     manifest_version : int
-        The manifest that decided all this.
+        Version of the manifest that these values are based on.
     prefixes : tuple of Prefix
-        Beginnings of its prompt that other requests share, the longest first.
+        Prefixes of the prompt that other requests share, the longest first.
     urgency : int
         0 is the most urgent; see `engine_waits.rank_urgency`.
     """
@@ -47,29 +47,29 @@
     service: str
     team: str | None
     arrived_s: float
-    limit_s: float
+    deadline_s: float
     manifest_version: int
     prefixes: tuple[Prefix, ...]
     urgency: int
 
     @property
     def is_stream(self) -> bool:
-        """Whether its answer is a stream of events, which an engine generates."""
+        """Whether the response is an event stream, which an engine generates."""
         return self.route.kind == "streaming"
 
     @property
     def request_id(self) -> str:
-        """Identifies one attempt of the client."""
+        """Identifier of one attempt of the client."""
         return self.headers.request_id
 
     @property
     def session(self) -> str:
-        """Key of the longest prefix that others share; empty if there is none."""
+        """Key of the longest shared prefix; empty if there is none."""
         return self.prefixes[0].key if self.prefixes else ""
 
     @property
     def fingerprint(self) -> int:
-        """Same for a request that comes again: path, caller and body."""
+        """Hash of target, API key and body, the same for each retry by the client."""
         digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
         for field in (self.target.encode(), self.headers.key.encode(), self.body):
             digest.update(len(field).to_bytes(8) + field)
@@ -77,10 +77,10 @@
 
 
 def find_shared_prefixes(route: Route, headers: CallHeaders) -> tuple[Prefix, ...]:
-    """Return the beginnings of a prompt that other requests have too.
+    """Return the prefixes of a prompt that other requests share.
 
-    The last part of a prompt is the request's own; the one before it is that of the
-    session, which endpoints may have cached.
+    The last part of a prompt is unique to the request; the part before it belongs to
+    the session, which endpoints may have cached.
     """
     if not route.has_affinity:
         return ()
--- a/src/tamarackrill/router/edge_flow.py
+++ b/src/tamarackrill/router/edge_flow.py
@@ -1,4 +1,4 @@
-"""The way of one request of the platform's interface, from its route to its answer."""
+"""Serves requests on the platform's interface, from route to final response."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,11 @@
     list_passed_back,
     write_refusal,
 )
-from tamarackrill.router.edge_attempts import EdgeAttempts, Progress, Result
+from tamarackrill.router.edge_attempts import (
+    AttemptResult,
+    EdgeAttempts,
+    RequestProgress,
+)
 from tamarackrill.router.edge_calls import EdgeCall
 from tamarackrill.router.edge_placing import EdgePlaced, EdgePlacer, Overloaded
 from tamarackrill.router.edge_reply import EdgeReply
@@ -32,18 +36,18 @@
 
 
 class EdgeFlow:
-    """Serves requests.
+    """Serves requests: chooses endpoints, retries failed attempts, sends the response.
 
     Parameters
     ----------
     placer : EdgePlacer
         Chooses endpoints.
     terms : BudgetTerms
-        The fleet's budget of repeats for each service.
+        The fleet's retry budget for each service.
     count_routers : callable
-        Returns how many routers share it.
+        Returns how many routers share the budget.
     metrics : Metrics
-        Counts and times.
+        Records counters and durations.
     clock : callable
         Returns the present time.
     """
@@ -63,12 +67,12 @@
         self._clock = clock
         self._retries: dict[str, RetryShare] = {}
         self.attempts = EdgeAttempts(
-            placer, self._count_repeats_left, self._note_sent, metrics, clock
+            placer, self._count_retries_left, self._record_sent, metrics, clock
         )
         self.compute_failover_s: Callable[[], float | None] = lambda: None
 
-    def count_repeats_left(self) -> dict[str, float]:
-        """Return what this router may still repeat, by service; for metrics."""
+    def list_retries_left(self) -> dict[str, float]:
+        """Return the retries left in this router's budget by service, for metrics."""
         routers, now_s = self._count_routers(), self._clock()
         return {
             service: share.count_retries_left(routers, now_s)
@@ -76,37 +80,37 @@
         }
 
     async def serve(self, call: EdgeCall, reply: EdgeReply) -> None:
-        """Give a request its final answer.
+        """Serve a request up to its final response.
 
         Raises
         ------
         tornado.iostream.StreamClosedError
-            If the client has left.
+            If the client has disconnected.
         """
-        progress = Progress(call, reply)
+        progress = RequestProgress(call, reply)
         self._find_share(call.service).note_request(self._clock())
         while True:
             now_s = self._clock()
             try:
                 placed = self._placer.choose(
-                    call, progress.avoid, now_s, may_refuse=not progress.tried.sent
+                    call, progress.avoid, now_s, may_refuse=not progress.history.sent
                 )
             except Overloaded as overloaded:
                 _log_overloaded(call, overloaded)
-                await self._end(progress, overloaded.code)
+                await self._send_final_answer(progress, overloaded.code)
                 return
             except Refusal as refusal:
-                await self._end(progress, "poison", refusal.retry_after_s)
+                await self._send_final_answer(progress, "poison", refusal.retry_after_s)
                 return
-            if placed is None or call.limit_s <= now_s:
+            if placed is None or call.deadline_s <= now_s:
                 reason = "no_endpoint" if placed is None else "deadline"
-                await self._end(progress, reason)
+                await self._send_final_answer(progress, reason)
                 return
             result = await self.attempts.run(progress, placed)
             if result.outcome == "answered":
-                self._note_answer(progress, placed, result)
+                self._record_answered(progress, placed, result)
                 return
-            if await self._follow(progress, placed, result):
+            if await self._handle_failed_attempt(progress, placed, result):
                 return
 
     def _find_share(self, service: str) -> RetryShare:
@@ -115,53 +119,53 @@
             share = self._retries[service] = RetryShare(self._terms)
         return share
 
-    def _note_sent(self, call: EdgeCall, is_repeat: bool) -> None:
-        if is_repeat:
+    def _record_sent(self, call: EdgeCall, is_retry: bool) -> None:
+        if is_retry:
             self._find_share(call.service).note_retry(self._clock())
 
-    def _count_repeats_left(self, call: EdgeCall) -> float:
+    def _count_retries_left(self, call: EdgeCall) -> float:
         share = self._find_share(call.service)
         return share.count_retries_left(self._count_routers(), self._clock())
 
-    async def _follow(
-        self, progress: Progress, placed: EdgePlaced, result: Result
+    async def _handle_failed_attempt(
+        self, progress: RequestProgress, placed: EdgePlaced, result: AttemptResult
     ) -> bool:
-        """Act on an attempt that brought no answer; return whether it was the last."""
+        """Process a failed attempt; return whether it was the last one."""
         call = progress.call
         now_s = self._clock()
-        progress.tried = add_attempt(progress.tried, result.outcome)
+        progress.history = add_attempt(progress.history, result.outcome)
         progress.avoid.add(placed.endpoint.name)
-        left = self._count_repeats_left(call)
-        following: NextStep = decide_next(
+        retries_left = self._count_retries_left(call)
+        next_step: NextStep = decide_next(
             result.outcome,
-            progress.tried,
+            progress.history,
             call.route.may_repeat,
             call.route.attempts_max,
-            left,
-            call.limit_s - now_s,
+            retries_left,
+            call.deadline_s - now_s,
         )
-        if following == "repeat" and self._placer.is_poison(call, now_s):
-            following = "give_up" if progress.tried.may_have_run else "refuse"
+        if next_step == "repeat" and self._placer.is_poison(call, now_s):
+            next_step = "give_up" if progress.history.may_have_run else "refuse"
         log_event(
             CALL_ATTEMPT_FAILED,
             request=call.request_id,
             endpoint=placed.endpoint.name,
             outcome=result.outcome,
             detail=result.detail,
-            next=following,
-            repeats_left=left,
+            next=next_step,
+            repeats_left=retries_left,
             after_s=now_s - call.arrived_s,
         )
         self._metrics.count("attempts_failed", result.outcome)
         if result.answer is not None:
             progress.failed_answer = result.answer
-        if following == "repeat":
+        if next_step == "repeat":
             return False
-        await self._end(progress, result.outcome)
+        await self._send_final_answer(progress, result.outcome)
         return True
 
-    def _note_answer(
-        self, progress: Progress, placed: EdgePlaced, result: Result
+    def _record_answered(
+        self, progress: RequestProgress, placed: EdgePlaced, result: AttemptResult
     ) -> None:
         call = progress.call
         total_s = self._clock() - call.arrived_s
@@ -172,22 +176,22 @@
             request=call.request_id,
             endpoint=placed.endpoint.name,
             status=result.status,
-            attempts=progress.tried.sent + 1,
+            attempts=progress.history.sent + 1,
             first_s=result.first_s,
             total_s=total_s,
         )
 
-    def _find_client_left_s(self, call: EdgeCall) -> float:
-        waits_s = call.headers.wait_s
-        if waits_s is None:
-            return call.limit_s - self._clock()
-        return call.arrived_s + waits_s - self._clock()
+    def _find_client_time_left_s(self, call: EdgeCall) -> float:
+        wait_s = call.headers.wait_s
+        if wait_s is None:
+            return call.deadline_s - self._clock()
+        return call.arrived_s + wait_s - self._clock()
 
-    async def _end(
-        self, progress: Progress, reason: str, retry_after_s: float | None = None
+    async def _send_final_answer(
+        self, progress: RequestProgress, reason: str, retry_after_s: float | None = None
     ) -> None:
-        """Give the final answer of a request that no endpoint has answered well."""
-        call, reply, tried = progress.call, progress.reply, progress.tried
+        """Send the final response of a request that no endpoint served successfully."""
+        call, reply, history = progress.call, progress.reply, progress.history
         if reply.has_begun:
             log_event(
                 CALL_CUT,
@@ -198,7 +202,7 @@
                 reason=reason,
             )
             self._metrics.count("streams_cut", reason)
-            reply.cut()
+            reply.abort()
             return
         if progress.failed_answer is not None:
             answer = progress.failed_answer
@@ -209,19 +213,19 @@
             )
             self._metrics.count("calls_failed", "endpoint")
             return
-        if not tried.may_have_run:
+        if not history.may_have_run:
             status = 503
-            is_cut = reason in ("no_endpoint", "not_sent")
+            is_unreachable = reason in ("no_endpoint", "not_sent")
             wait_s = retry_after_s or choose_retry_after_s(
                 call.request_id,
-                is_cut,
-                self._find_client_left_s(call),
+                is_unreachable,
+                self._find_client_time_left_s(call),
                 self.compute_failover_s(),
             )
         else:
-            is_late = self._clock() >= call.limit_s
+            is_late = self._clock() >= call.deadline_s
             status, wait_s = (504 if is_late else 502), None
-        await refuse(call, reply, status, reason, wait_s, tried.sent)
+        await send_refusal(call, reply, status, reason, wait_s, history.sent)
         self._metrics.count_refusal(reason)
 
 
@@ -237,7 +241,7 @@
     )
 
 
-async def refuse(
+async def send_refusal(
     call: EdgeCall,
     reply: EdgeReply,
     status: int,
@@ -245,7 +249,7 @@
     retry_after_s: float | None,
     sent: int = 0,
 ) -> None:
-    """Answer a request that matched a route with an answer of the router's own."""
+    """Send the router's own error response to a request that matched a route."""
     log_event(
         CALL_REFUSED,
         request=call.request_id,
--- a/src/tamarackrill/router/edge_reply.py
+++ b/src/tamarackrill/router/edge_reply.py
@@ -1,4 +1,4 @@
-"""The answer to a client of the platform's interface."""
+"""Writes the response to a client of the platform's interface."""
 
 from collections.abc import Sequence
 from http.client import responses
@@ -8,19 +8,21 @@
 
 
 class EdgeReply:
-    """Writes one answer.
+    """Writes one response.
 
     Parameters
     ----------
     connection : HTTP1Connection
-        The client's connection, whose request has been read.
+        The client's connection, from which the request was read.
     must_close : bool
-        Whether the connection ends with this answer.
+        Whether the connection is closed after this response.
 
     Attributes
     ----------
     has_begun : bool
-        Whether the client has got the head of the answer.
+        Whether the response head has been sent.
+    is_over : bool
+        Whether the response is complete or aborted.
     """
 
     def __init__(self, connection: HTTP1Connection, must_close: bool) -> None:
@@ -35,21 +37,21 @@
         headers: Sequence[tuple[str, str]],
         body: bytes | None = None,
     ) -> None:
-        """Send the head; with a body the whole answer.
+        """Send the head, or the complete response if the body is given.
 
         Parameters
         ----------
         status : int
-            Status.
+            HTTP status code.
         headers : sequence of (str, str)
-            All headers but those of the connection.
+            All headers except ``Connection`` and ``Content-Length``.
         body : bytes or None
-            The whole body; None if pieces follow.
+            Complete body; None if chunks follow.
 
         Raises
         ------
         tornado.iostream.StreamClosedError
-            If the client has left.
+            If the client has disconnected.
         """
         fields = HTTPHeaders()
         for name, value in headers:
@@ -64,19 +66,19 @@
         if body is not None:
             self.finish()
 
-    async def write(self, piece: bytes) -> None:
-        """Send a piece; returns once there is room for the next."""
-        await self._connection.write(piece)
+    async def write(self, chunk: bytes) -> None:
+        """Send a chunk; return once the write buffer has room for the next one."""
+        await self._connection.write(chunk)
 
     def finish(self) -> None:
-        """End the answer as complete."""
+        """Complete the response."""
         self.is_over = True
         self._connection.finish()
         if self._must_close:
-            # The head says that the connection ends here.
+            # The response head announced the close.
             self._connection.close()
 
-    def cut(self) -> None:
-        """End the connection, so that half an answer doesn't look like a whole one."""
+    def abort(self) -> None:
+        """Close the connection so that a partial response can't pass for complete."""
         self.is_over = True
         self._connection.close()
--- a/src/tamarackrill/router/edge_server.py
+++ b/src/tamarackrill/router/edge_server.py
@@ -1,4 +1,4 @@
-"""Reads clients' requests from the platform's interface and matches them to routes."""
+"""Reads client requests on the platform's interface and matches them to routes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,25 +30,25 @@
 from tamarackrill.router.ending_server import EndingServer
 from tamarackrill.router.metrics import Metrics
 
-# Twice what the manifests seen so far allow; a longer header is refused by its length
-# below that, and its connection is closed above it.
+# Twice the limit of known manifests. Headers above the manifest's limit get a 431; the
+# connection is closed if they exceed this one.
 HEADERS_READ_MAX_BYTES = 64 * 1024
 UNLIMITED_BYTES = 1 << 40
-# Until the manifest says how long clients may stay idle: what browsers and proxies
-# commonly keep a connection for, so that no request crosses the router's close.
+# Default until a manifest sets the idle timeout: as long as browsers and proxies
+# commonly keep connections alive, so that no request races with the router's close.
 IDLE_TIMEOUT_S = 75.0
-# A router that knows no manifest has been started within the last second or two.
-NO_MANIFEST_RETURN_S = 0.5
+# A router without a manifest was started within the last second or two.
+NO_MANIFEST_RETRY_AFTER_S = 0.5
 # Time in which a router reads a newer manifest that others already hold: half a second
-# over a thin link.
-OUTDATED_RETURN_S = 0.5
-# A balancer takes a router out within two seconds of SIGTERM, and a client that comes
-# back reaches another one then.
-LEAVING_RETURN_S = 0.2
+# over a slow link.
+OUTDATED_RETRY_AFTER_S = 0.5
+# A balancer removes a router within two seconds of SIGTERM; a client that retries after
+# that reaches another one.
+LEAVING_RETRY_AFTER_S = 0.2
 
 
 class _Denied(Exception):
-    """A request that the manifest in force doesn't allow, or that can't be read."""
+    """A request that the current manifest doesn't allow, or that is malformed."""
 
     def __init__(
         self, status: int, reason: str, retry_after_s: float | None = None
@@ -60,30 +60,30 @@
 
 
 class EdgeServer(HTTPServerConnectionDelegate):
-    """The server towards clients.
+    """HTTP server for clients.
 
     Parameters
     ----------
     view : DeploymentView
-        Manifest in force.
+        Holds the current manifest.
     flow : EdgeFlow
-        Serves requests that match.
+        Serves requests that match a route.
     metrics : Metrics
-        Counts.
+        Records counters.
     clock : callable
         Returns the present time.
 
     Attributes
     ----------
     is_leaving : bool
-        Whether connections end with their next answer.
-    sends_elsewhere : bool
-        Whether connections end with their next answer because clients are better
-        served by other routers; new ones are served all the same.
-    takes_work : bool
-        Whether requests are still served.
+        Whether each connection is closed after its next response.
+    sheds_connections : bool
+        Whether each connection is closed after its next response because other routers
+        serve clients better; new connections are still served.
+    accepts_requests : bool
+        Whether requests are still served rather than refused.
     is_outdated : callable
-        Returns whether another manifest may be in force elsewhere by now.
+        Returns whether other routers may already have a newer manifest.
     """
 
     def __init__(
@@ -98,8 +98,8 @@
         self.metrics = metrics
         self.clock = clock
         self.is_leaving = False
-        self.sends_elsewhere = False
-        self.takes_work = True
+        self.sheds_connections = False
+        self.accepts_requests = True
         self.is_outdated: Callable[[], bool] = lambda: False
         self.in_flight: set[asyncio.Task[None]] = set()
         self.server = EndingServer(
@@ -109,29 +109,29 @@
             idle_connection_timeout=IDLE_TIMEOUT_S,
         )
 
-    def limit_idle(self, idle_s: float) -> None:
-        """End connections on which no whole head has come for so long.
+    def set_idle_timeout(self, idle_s: float) -> None:
+        """Close connections that send no complete request head within this time.
 
-        Each idle connection holds a descriptor and some 50 kB, and clients that have
-        gone without a word would fill the router up with them.
+        Each idle connection holds a file descriptor and some 50 kB, so clients that
+        vanish without closing would exhaust the router.
         """
-        # Read by the server for each request that it waits for.
+        # The server reads this value each time it waits for a request.
         self.server.conn_params.header_timeout = idle_s
 
     def leave(self) -> None:
-        """End each connection with its next answer."""
+        """Close each connection after its next response."""
         self.is_leaving = True
         self.server.leave()
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Return what reads the next request of a connection."""
+        """Return the delegate that reads the next request of a connection."""
         assert isinstance(request_conn, HTTP1Connection)
         return _Request(self, request_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Nothing is kept for a connection."""
+        """Do nothing, as connections have no state here."""
 
     def match(
         self,
@@ -141,32 +141,32 @@
         body: bytes,
         arrived_s: float,
     ) -> EdgeCall:
-        """Return the call of a request.
+        """Match a request to its route and service.
 
         Raises
         ------
         _Denied
-            If it gets an answer of the router's own.
+            If the router itself refuses the request.
         """
         table = self.view.routes
         if table is None:
-            raise _Denied(503, "no_manifest", NO_MANIFEST_RETURN_S)
+            raise _Denied(503, "no_manifest", NO_MANIFEST_RETRY_AFTER_S)
         route = table.find_route(host, line.path.partition("?")[0])
         if route is None:
-            raise self._deny_unknown(404, "no_route")
+            raise self._deny_unmatched(404, "no_route")
         team = self._find_team(table, route, headers)
         if len(body) > table.manifest.limits.body_max_bytes:
             raise _Denied(413, "body_too_long")
-        if not self.takes_work:
-            raise _Denied(503, "leaving", LEAVING_RETURN_S)
+        if not self.accepts_requests:
+            raise _Denied(503, "leaving", LEAVING_RETRY_AFTER_S)
         if not headers.request_id:
             raise _Denied(400, "no_request_id")
         service = choose_service(route.shares, headers.request_id)
         if service is None:
-            raise _Denied(503, "no_service", NO_MANIFEST_RETURN_S)
-        waits_s = route.timeout_s
+            raise _Denied(503, "no_service", NO_MANIFEST_RETRY_AFTER_S)
+        timeout_s = route.timeout_s
         if headers.wait_s is not None:
-            waits_s = min(waits_s, headers.wait_s)
+            timeout_s = min(timeout_s, headers.wait_s)
         return EdgeCall(
             method=line.method,
             target=line.path,
@@ -176,7 +176,7 @@
             service=service,
             team=None if team is None else team.name,
             arrived_s=arrived_s,
-            limit_s=arrived_s + waits_s,
+            deadline_s=arrived_s + timeout_s,
             manifest_version=table.manifest.version,
             prefixes=find_shared_prefixes(route, headers),
             urgency=rank_urgency(
@@ -191,28 +191,28 @@
             return None
         found = table.find_team(headers.key) if headers.key else None
         if found is None and not route.is_anonymous:
-            raise self._deny_unknown(401, "unknown_key")
+            raise self._deny_unmatched(401, "unknown_key")
         return found
 
-    def _deny_unknown(self, status: int, reason: str) -> _Denied:
-        """Return the denial of a route or key that the manifest doesn't name.
+    def _deny_unmatched(self, status: int, reason: str) -> _Denied:
+        """Return the denial for a route or key that is not in the manifest.
 
-        Clients take 404 and 401 for final.  A router that knows of a newer manifest,
-        or has not heard of the store for longer than a change may take, would turn
-        away for good those who may be served; told to come back, they find out.
+        Clients treat 404 and 401 as final. If a newer manifest is known, or nothing has
+        been heard of the store for longer than a change may take to propagate, the
+        route or key may exist by now, so clients get a 503 and retry.
         """
         if self.is_outdated():
-            return _Denied(503, "manifest_outdated", OUTDATED_RETURN_S)
+            return _Denied(503, "manifest_outdated", OUTDATED_RETRY_AFTER_S)
         return _Denied(status, reason)
 
 
 class _Request(HTTPMessageDelegate):
-    """One request of a client, as it is read."""
+    """Reads and serves one request of a client."""
 
     def __init__(self, server: EdgeServer, connection: HTTP1Connection) -> None:
         self._server = server
         self._connection = connection
-        self._pieces: list[bytes] = []
+        self._chunks: list[bytes] = []
         self._size_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self._call: EdgeCall | None = None
@@ -223,34 +223,34 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Take the head."""
+        """Store the request line and headers."""
         assert isinstance(start_line, RequestStartLine)
-        self._line = start_line
+        self._start_line = start_line
         self._headers = headers
         self._arrived_s = self._server.clock()
         return None
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take a piece of the body; what goes beyond the limit is not kept."""
+        """Store a chunk of the body; chunks beyond the size limit are discarded."""
         self._size_bytes += len(chunk)
         table = self._server.view.routes
         if table is None or self._size_bytes <= table.manifest.limits.body_max_bytes:
-            self._pieces.append(chunk)
+            self._chunks.append(chunk)
         return None
 
     def finish(self) -> None:
-        """Serve the request, which is whole."""
-        # Once a request is whole, tornado tells of its client's close only here.  Not
-        # noticed, a request at an endpoint that is silent would keep its place there
-        # until its deadline, for nobody: of 130 whose clients left such an endpoint, 83
-        # were still at work half a second later.
+        """Serve the request, which is now complete."""
+        # Once a request is complete, tornado reports a disconnect of its client only to
+        # this callback. Unnoticed, the request would hold its slot at an unresponsive
+        # endpoint until its deadline: of 130 such requests, 83 were still running half
+        # a second after their clients had left.
         self._connection.set_close_callback(self.on_connection_close)
         self._task = asyncio.create_task(self._serve())
         self._server.in_flight.add(self._task)
         self._task.add_done_callback(self._server.in_flight.discard)
 
     def on_connection_close(self) -> None:
-        """Stop all work for a client that has left."""
+        """Cancel the request of a client that has disconnected."""
         if self._task is None or self._task.done():
             return
         self._server.metrics.count("clients_left")
@@ -265,28 +265,28 @@
 
     async def _serve(self) -> None:
         server = self._server
-        must_close = server.is_leaving or server.sends_elsewhere
+        must_close = server.is_leaving or server.sheds_connections
         reply = EdgeReply(self._connection, must_close)
         try:
-            await self._answer(reply)
+            await self._match_and_serve(reply)
         except StreamClosedError:
-            # The client has left while its answer was written.
+            # The client disconnected while its response was written.
             self._server.metrics.count("clients_left")
         except Exception as error:  # noqa: BLE001
-            # A fault of ours must not leave a client waiting for its deadline.
+            # A bug in the router must not leave a client waiting until its deadline.
             log_event(TASK_FAILED, task="serve", error=repr(error))
             if not reply.is_over:
-                reply.cut()
+                reply.abort()
 
-    async def _answer(self, reply: EdgeReply) -> None:
+    async def _match_and_serve(self, reply: EdgeReply) -> None:
         headers = read_call(self._headers)
         try:
-            self._check_head()
+            self._check_sizes()
             self._call = self._server.match(
-                self._line,
+                self._start_line,
                 self._headers.get("Host", ""),
                 headers,
-                b"".join(self._pieces),
+                b"".join(self._chunks),
                 self._arrived_s,
             )
         except _Denied as denied:
@@ -294,13 +294,13 @@
             return
         await self._server.flow.serve(self._call, reply)
 
-    def _check_head(self) -> None:
+    def _check_sizes(self) -> None:
         table = self._server.view.routes
         if table is None:
             return
         limits = table.manifest.limits
         size_bytes = sum(len(n) + len(v) + 4 for n, v in self._headers.get_all())
-        if size_bytes + len(self._line.path) > limits.header_max_bytes:
+        if size_bytes + len(self._start_line.path) > limits.header_max_bytes:
             raise _Denied(431, "head_too_long")
         if self._size_bytes > limits.body_max_bytes:
             raise _Denied(413, "body_too_long")
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""The platform's interface over sockets: what clients and workers see."""
+"""Tests of the platform's interface over sockets, as clients and workers see it."""
 
 import asyncio
 
@@ -37,7 +37,7 @@
 ROUTES = (LOOKUP, CONFIRM, STREAM, STREAM_ONCE, OPEN)
 
 
-def play(act):
+def run_in_fleet(act):
     async def run():
         async with EdgeFleet() as fleet:
             await fleet.put_manifest(1, *ROUTES)
@@ -50,10 +50,10 @@
 PROMPT = "aa:800,bb:4000,cc:90"
 
 
-def test_session_of_an_engine_that_leaves_is_copied_to_the_next_one():
-    # Engines are replaced one after the other. The sessions of one that leaves go on
-    # at another, which would read all of their prompts again while its own callers
-    # wait; the one that leaves still holds them.
+def test_session_of_a_draining_engine_is_copied_to_the_next_one():
+    # Guards against cached prompts that are read again during a rolling replacement of
+    # engines. Sessions of a draining engine move to another one, which can copy their
+    # cached prefixes from it instead of keeping its own callers waiting.
     route = make_route("/chat/", "streaming", attempts=1, session_affinity=True)
 
     async def act(fleet):
@@ -73,7 +73,7 @@
         await ask(router, "/chat/a", "id-2", X_Prompt_Prefix=PROMPT)
         assert other.requests[0].headers["kv-fetch"] == first.address
 
-    play(act)
+    run_in_fleet(act)
 
 
 async def hang(request, writer):
@@ -91,9 +91,9 @@
 TOO_LONG_S = engine_waits.compute_wait_limit_s(OBJECTIVE_S, urgency=0, is_cached=True)
 
 
-def test_prompt_goes_past_an_engine_at_which_others_wait_too_long():
-    # An engine has been given more prompts than it can read, and answers nobody.  Its
-    # sessions go on at another one; sent after the others, they would wait as long.
+def test_prompt_skips_an_overloaded_engine():
+    # Guards against requests queued behind an overloaded engine that responds to
+    # nobody: its sessions must move to another engine instead of waiting there too.
     async def act(fleet):
         await fleet.put_manifest(2, CHAT)
         engines = [await fleet.add_worker(name, hang) for name in ("w1", "w2")]
@@ -113,12 +113,12 @@
         assert len(other.requests) == len(slow.requests) == 1
         first.cancel()
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_prompt_is_refused_at_once_when_all_engines_are_too_slow():
-    # All engines have more than they can read.  One more prompt would wait for longer
-    # than its client does, and keep those behind it waiting as well.
+def test_prompt_is_refused_at_once_when_all_engines_are_overloaded():
+    # Guards against queuing when all engines are overloaded: another prompt would wait
+    # for longer than its client does, and delay those behind it.
     async def act(fleet):
         await fleet.put_manifest(2, CHAT)
         engine = await fleet.add_worker("w1", hang)
@@ -133,10 +133,10 @@
         assert len(engine.requests) == 1
         first.cancel()
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_engine_is_told_which_prompts_are_urgent_and_services_nothing():
+def test_priority_is_sent_to_engines_and_not_to_services():
     async def act(fleet):
         await fleet.put_manifest(2, CHAT, LOOKUP)
         worker = await fleet.add_worker("w1", make_streaming(1))
@@ -150,14 +150,14 @@
         assert int(held) < int(unread)
         assert lookup is None
 
-    play(act)
+    run_in_fleet(act)
 
 
 async def break_off(request, writer):
     writer.transport.abort()
 
 
-def test_answer_comes_back_unchanged_and_the_worker_gets_what_it_needs():
+def test_response_is_unchanged_and_the_worker_gets_its_headers():
     async def act(fleet):
         worker = await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -171,10 +171,10 @@
         assert 0 < int(request.headers["x-deadline-ms"]) <= 3000
         assert not {"x-api-key", "x-hold"} & request.headers.keys()
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_body_in_chunks_reaches_the_worker_whole():
+def test_chunked_request_body_reaches_the_worker_complete():
     async def act(fleet):
         worker = await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -188,7 +188,7 @@
         assert worker.requests[0].body == b"one two"
         client.close()
 
-    play(act)
+    run_in_fleet(act)
 
 
 @pytest.mark.parametrize(
@@ -201,7 +201,7 @@
         ("/lookup/a", {"Host": "other.example"}, 404, "no_route"),
     ],
 )
-def test_what_the_manifest_does_not_allow_reaches_no_worker(
+def test_request_that_the_manifest_does_not_allow_reaches_no_worker(
     target, headers, status, reason
 ):
     async def act(fleet):
@@ -211,7 +211,7 @@
         assert (answer.status, read_reason(answer)) == (status, reason)
         assert not worker.requests
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_body_beyond_the_limit_is_refused():
@@ -222,7 +222,7 @@
         assert answer.status == 413
         assert not worker.requests
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_route_without_keys_serves_anyone():
@@ -232,12 +232,12 @@
         assert (await ask(router, "/open/a", X_Api_Key="")).status == 200
         assert "x-tenant-id" not in worker.requests[0].headers
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_router_without_a_manifest_promises_that_nothing_ran():
-    # A router starts while the store is away, and nobody else has a manifest.  A 404
-    # or 401 would tell a client that its request is wrong, and it would not come back.
+    # Guards against a 404 or 401, which clients take for final, from a router that
+    # started while the store was unavailable and no peer had a manifest.
     async def act(fleet):
         fleet.store.status = 503
         router = fleet.make_router("alone")
@@ -247,13 +247,13 @@
         assert float(answer.headers["retry-after"]) > 0
         assert not router.is_ready()
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_router_that_knows_of_a_newer_manifest_denies_nothing_by_its_own():
-    # Operators add a route and a key, and a router hears of the new manifest before it
-    # has read it over its thin link.  By the old one it would answer 404 or 401, which
-    # clients take for final, though every other router serves them.
+def test_router_that_knows_of_a_newer_manifest_sends_no_final_denial():
+    # Guards against a 404 or 401, which clients take for final, for a new route or key
+    # that all other routers serve.  The router has been notified of the new manifest
+    # but has not yet read it over its slow link.
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -271,13 +271,12 @@
         await router.configurer._list("config")
         assert (await ask(router, "/new/a")).status == 404
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_router_that_has_not_heard_of_the_store_in_time_denies_nothing_for_good():
-    # A router is so busy that it does not hear of the store for longer than a change
-    # may take.  A route may have been added meanwhile; a 404 would send its users away
-    # for good.
+def test_router_without_recent_news_of_the_store_sends_no_final_denial():
+    # Guards against a final 404 for a route that was added while a busy router had not
+    # heard of the store for longer than a change may take to propagate.
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -292,20 +291,20 @@
         await fleet.wait(lambda: not router._is_outdated())
         assert (await ask(router, "/new/a")).status == 404
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_router_that_was_away_reads_the_newest_manifest_alone():
-    # The store is away for a router while operators change a long manifest four times.
-    # It then read four manifests over its thin link, one after the other, and refused
-    # requests on new routes until the last byte was there.
+def test_router_that_lost_the_store_reads_only_the_newest_manifest():
+    # Guards against a router that reads every version of a long manifest it has missed
+    # over its slow link, refusing requests on new routes until the last one has
+    # arrived.  The store was unreachable during four changes.
     async def act(fleet):
         many = [make_route(f"/s{n}/", "streaming") for n in range(200)]
         await fleet.put_manifest(1, *many)
         await fleet.add_worker("w1")
         router = await fleet.add_router()
         versions = []
-        take = router._take_objects
+        take = router._apply_objects
         router.configurer._on_taken = lambda taken: (
             versions.extend(item.version for item in taken if item.kind == "config"),
             take(taken),
@@ -318,7 +317,7 @@
         await fleet.wait(lambda: router.view.routes.manifest.version == 5)
         assert versions == [fleet.store.state.revision]
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_lookup_that_fails_at_one_worker_is_served_by_another():
@@ -335,10 +334,10 @@
         assert failing.requests
         assert len(sound.requests) == 6
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_failure_that_no_attempt_mends_is_passed_on_as_it_is():
+def test_error_response_is_forwarded_unchanged_when_all_attempts_fail():
     async def act(fleet):
         async def fail(request, writer):
             writer.write(make_answer(request, b"broken", 500))
@@ -351,12 +350,12 @@
         assert answer.headers["x-response-signature"] == SIGNATURE
         assert sum(len(worker.requests) for worker in fleet.workers) == 2
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_confirmation_whose_answer_is_lost_is_not_sent_again():
-    # A worker takes a confirmation and its connection breaks.  It may have run; sent to
-    # another worker it would run twice, and a family would be billed twice.
+def test_confirmation_whose_response_is_lost_is_not_retried():
+    # Guards against a non-idempotent request that runs twice.  The connection breaks
+    # after a worker has received a confirmation, which may have run.
     async def act(fleet):
         for name in ("w1", "w2"):
             await fleet.add_worker(name, break_off)
@@ -366,10 +365,10 @@
         assert "retry-after" not in answer.headers
         assert sum(len(worker.requests) for worker in fleet.workers) == 1
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_confirmation_that_a_full_worker_refused_is_promised_not_to_have_run():
+def test_confirmation_refused_by_a_full_worker_is_reported_as_not_run():
     async def act(fleet):
         await fleet.add_worker("w1", refuse_full)
         router = await fleet.add_router()
@@ -377,12 +376,13 @@
         assert answer.status == 503
         assert 0 < float(answer.headers["retry-after"]) < 1
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_dark_worker_costs_no_answer():
-    # A worker's process has ended, and the store still lists it.  Its port refuses;
-    # nothing was sent, so even a confirmation may go to the next worker.
+def test_stopped_worker_fails_no_request():
+    # Guards against failed requests when the store still lists a worker whose process
+    # has ended.  Its port refuses connections, so nothing was sent and even a
+    # confirmation may go to the next worker.
     async def act(fleet):
         dead = await fleet.add_worker("w1")
         await dead.stop()
@@ -392,10 +392,10 @@
             answer = await ask(router, "/confirm/a", f"id-{number}", body=b"x")
             assert answer.status == 200
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_worker_at_another_address_by_now_does_not_end_the_request():
+def test_request_to_a_worker_that_has_moved_is_retried():
     async def act(fleet):
         async def misplace(request, writer):
             writer.write(make_answer(request, b"", 421, X_Response_Signature=""))
@@ -406,12 +406,13 @@
         for number in range(4):
             assert (await ask(router, "/lookup/a", f"id-{number}")).status == 200
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_second_answer_to_an_earlier_request_is_not_taken_for_the_next():
-    # A faulty worker sends each answer twice.  The second one waits where the answer
-    # to the next request is expected; a client would read another client's answer.
+def test_duplicate_response_is_not_taken_for_the_next_one():
+    # Guards against a client that gets another client's response.  A faulty worker
+    # sends each response twice, and the second one arrives where the response to the
+    # next request is expected.
     async def act(fleet):
         async def twice(request, writer):
             own = make_answer(request, b"for " + request.request_id.encode())
@@ -423,15 +424,15 @@
             answer = await ask(router, "/lookup/a", f"id-{number}")
             assert answer.body == b"for id-%d" % number
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_late_second_answer_on_a_kept_connection_is_read_over():
+def test_late_duplicate_response_on_a_pooled_connection_is_skipped():
     async def act(fleet):
         held = []
 
         async def behind(request, writer):
-            # The extra answer leaves just ahead of the next one.
+            # The extra response is sent just before the next one.
             for extra in held:
                 writer.write(extra)
             held[:] = [make_answer(request, b"extra")]
@@ -444,14 +445,14 @@
             assert answer.body == b"for id-%d" % number
         assert worker.connections == 1
 
-    play(act)
+    run_in_fleet(act)
 
 
 @pytest.mark.parametrize(
     "fields",
     [{"X_Response_Signature": ""}, {"Content_Encoding": "gzip"}],
 )
-def test_success_without_proof_is_no_success(fields):
+def test_unsigned_or_encoded_response_is_no_success(fields):
     async def act(fleet):
         async def forge(request, writer):
             writer.write(make_answer(request, b"forged", **fields))
@@ -462,10 +463,10 @@
         assert answer.status == 502
         assert b"forged" not in answer.body
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_truncated_answer_never_looks_whole():
+def test_truncated_response_is_not_forwarded_as_complete():
     async def act(fleet):
         async def truncate(request, writer):
             writer.write(make_answer(request, b"a whole answer")[:-5])
@@ -476,10 +477,10 @@
         router = await fleet.add_router()
         assert (await ask(router, "/confirm/a", body=b"x")).status == 502
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_answer_without_length_ends_with_its_connection():
+def test_response_without_length_ends_with_its_connection():
     async def act(fleet):
         async def unframed(request, writer):
             writer.write(make_answer(request, b"all of it", Content_Length=""))
@@ -491,12 +492,13 @@
         answer = await ask(router, "/confirm/a", body=b"x")
         assert (answer.status, answer.body) == (200, b"all of it")
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_stream_goes_on_at_another_worker_within_one_answer():
-    # A worker crashes in the middle of an event.  The client must see each event once
-    # and the answer's end, with the headers of the first worker.
+def test_stream_resumes_at_another_worker_within_one_response():
+    # Guards against lost or repeated events when a worker crashes in the middle of an
+    # event.  The client must get each event once and the end of the response, with the
+    # headers of the first worker.
     async def act(fleet):
         cut_first = in_turn(make_streaming(3, is_cut=True), make_streaming(6))
         workers = [await fleet.add_worker(name, cut_first) for name in ("w1", "w2")]
@@ -508,12 +510,12 @@
         assert {r.headers.get("last-event-id") for r in sent} == {None, "3"}
         assert [len(worker.requests) for worker in workers] == [1, 1]
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_stream_whose_worker_crashes_in_the_first_event_begins_anew():
-    # A worker crashes in the middle of its first event, before its client has got any.
-    # The half event must not be joined to the first event of the next worker.
+def test_stream_whose_worker_crashes_in_the_first_event_restarts():
+    # Guards against a partial event joined to the first event of the next worker, when
+    # a worker crashes in its first event, before the client has received any.
     async def act(fleet):
         cut_first = in_turn(make_streaming(0, is_cut=True), make_streaming(3))
         for name in ("w1", "w2"):
@@ -523,10 +525,10 @@
         assert answer.is_whole
         assert answer.body == b"".join(make_event(number) for number in range(1, 4))
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_stream_that_may_not_repeat_is_cut_and_not_completed():
+def test_stream_that_may_not_be_retried_is_cut_off():
     async def act(fleet):
         await fleet.add_worker("w1", make_streaming(3, is_cut=True))
         await fleet.add_worker("w2", make_streaming(3, is_cut=True))
@@ -535,7 +537,7 @@
         assert not answer.is_whole
         assert answer.body == b"".join(make_event(number) for number in range(1, 4))
 
-    play(act)
+    run_in_fleet(act)
 
 
 def pause_before(seconds, behave):
@@ -546,10 +548,9 @@
     return act
 
 
-def test_stream_of_the_only_engine_goes_on_after_a_long_silence(monkeypatch):
-    # All engines but one are gone, and that one stalls a stream for longer than a
-    # client of an idle deployment would be left waiting.  There is nobody to go on
-    # elsewhere; given up, the client would have half an answer instead of a late one.
+def test_stream_of_the_only_engine_continues_after_a_long_stall(monkeypatch):
+    # Guards against a stream that is cut on a stall timeout although no other engine
+    # can continue it: the client would get a partial response instead of a late one.
     monkeypatch.setattr(attempt_timeouts, "STREAM_STALL_TIMEOUT_S", 0.05)
 
     async def stall(request, writer):
@@ -565,7 +566,7 @@
         assert answer.body == make_event(1) + make_event(2)
         assert len(worker.requests) == 1
 
-    play(act)
+    run_in_fleet(act)
 
 
 async def send_slowly(request, writer):
@@ -578,11 +579,12 @@
 
 
 @pytest.mark.parametrize(
-    ("behave", "is_told"), [(send_slowly, False), (pause_before(0.3, answer_ok), True)]
+    ("behave", "is_reported"),
+    [(send_slowly, False), (pause_before(0.3, answer_ok), True)],
 )
-def test_stream_that_goes_on_for_long_is_no_failure_of_its_engine(behave, is_told):
-    # Guards against engines that are well and take part in long streams being told as
-    # failing, among which one that fails is not seen.
+def test_long_stream_is_no_failure_of_its_engine(behave, is_reported):
+    # Guards against healthy engines reported as failing because of long streams, which
+    # would hide an engine that does fail.
     route = make_route("/chat/", "streaming", target_latency_ms=20)
 
     async def act(fleet):
@@ -594,15 +596,15 @@
         waiting = [
             f for f in router._endpoint_news.take() if isinstance(f, FailureReport)
         ]
-        was_told = bool(waiting) or not router.placer.fleet_health.has_no_failures
-        assert was_told is is_told
+        was_reported = bool(waiting) or not router.placer.fleet_health.has_no_failures
+        assert was_reported is is_reported
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_lookup_waits_for_the_only_worker_that_is_left():
-    # All workers of a service but one are gone, and that one is slow.  Given up for
-    # another one that isn't there, the client would get nothing instead of an answer.
+def test_lookup_waits_for_the_only_remaining_worker():
+    # Guards against an attempt that is abandoned in favor of another worker when there
+    # is none: the only worker is slow, and its client would get no response at all.
     async def act(fleet):
         await fleet.put_manifest(2, {**LOOKUP, "target_latency_ms": 20})
         worker = await fleet.add_worker("w1", pause_before(0.4, answer_ok))
@@ -612,14 +614,13 @@
         assert (answer.status, answer.body) == (200, b"ok")
         assert len(worker.requests) == 1
 
-    play(act)
+    run_in_fleet(act)
 
 
 @pytest.mark.parametrize("target", ["/stream/a", "/once/a", "/lookup/a", "/confirm/a"])
-def test_worker_that_is_silent_stops_when_its_client_leaves(target):
-    # A worker hangs and answers nothing.  Its client leaves, and nothing is written to
-    # it that could fail; unnoticed, the request would hold a place at the worker until
-    # its deadline, for nobody.
+def test_request_at_a_hanging_worker_is_cancelled_when_its_client_disconnects(target):
+    # Guards against a request that holds a slot at a hanging worker until its deadline
+    # after its client has disconnected: no response is written, so no write fails.
     async def act(fleet):
         worker = await fleet.add_worker("w1", hang)
         router = await fleet.add_router()
@@ -631,12 +632,12 @@
         await fleet.wait(lambda: not router.server.in_flight)
         assert router.placer.placement.loads.own("w1") == 0
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_worker_stops_when_its_client_leaves():
-    # A client gives up.  A worker that went on would spend its slots on an answer that
-    # nobody reads.
+def test_worker_connection_closes_when_the_client_disconnects():
+    # Guards against workers that spend their slots on responses for clients that have
+    # disconnected.
     async def act(fleet):
         begun = asyncio.Event()
 
@@ -652,12 +653,12 @@
         client.close()
         await worker.closed.wait()
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_request_is_answered_at_its_routes_timeout():
-    # A worker falls silent.  The client is told in time that the outcome is unknown,
-    # and the worker is let go.
+    # Guards against a client that waits beyond the route's timeout for a hanging worker
+    # instead of being told that the outcome is unknown.
     async def act(fleet):
         async def hang(request, writer):
             await asyncio.Event().wait()
@@ -668,10 +669,10 @@
         answer = await ask(router, "/confirm/a", body=b"x")
         assert answer.status == 504
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_change_of_the_manifest_is_in_force_without_a_restart():
+def test_manifest_change_takes_effect_without_a_restart():
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -680,13 +681,13 @@
         await fleet.wait(lambda: router.view.routes.manifest.version == 2)
         assert (await ask(router, "/new/a")).status == 200
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_watch_that_the_store_forgot_does_not_keep_an_old_manifest_in_force():
-    # The store drops its history while watches wait.  They neither report the change
-    # made meanwhile nor end, though their connections live.  A key that was taken away
-    # would go on being served for as long as such a watch is believed.
+def test_dead_watch_does_not_keep_an_old_manifest_in_force():
+    # Guards against a revoked key that is still accepted while a dead watch is trusted.
+    # The store has dropped its history, so the watch neither reports a change nor ends,
+    # though its connection stays open.
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -698,13 +699,13 @@
         await fleet.wait(lambda: router.view.routes.manifest.version == 2)
         assert (await ask(router, "/open/a")).status == 404
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_long_manifest_over_a_slow_link_comes_into_force():
-    # A thousand routes are added, and a router's link needs longer for them than the
-    # store needs to answer.  A router that gives up meanwhile reads them over and over,
-    # and refuses requests on the new routes with 404.
+def test_long_manifest_over_a_slow_link_takes_effect():
+    # Guards against a router that times out while reading a long manifest, such as one
+    # of a thousand routes, over a slow link: it would start over again and again, and
+    # refuse requests on the new routes with 404.
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -713,7 +714,7 @@
         await fleet.wait(lambda: router.view.routes.manifest.version == 2)
         assert (await ask(router, "/new/a")).status == 200
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_draining_worker_gets_no_new_work():
@@ -729,7 +730,7 @@
             assert (await ask(router, "/lookup/a", f"id-{number}")).status == 200
         assert not leaving.requests
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_removed_worker_gets_no_new_work():
@@ -743,12 +744,12 @@
             assert (await ask(router, "/lookup/a", f"id-{number}")).status == 200
         assert not gone.requests
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_router_that_the_store_turns_away_hears_of_a_taken_key_from_another():
-    # The store turns one router away and serves the others.  Without the others' word
-    # it would serve a key that was taken away, for as long as that lasts.
+def test_router_rejected_by_the_store_learns_of_a_revoked_key_from_a_peer():
+    # Guards against a router that accepts a revoked key for as long as the store
+    # rejects its calls, although the other routers have the change.
     async def act(fleet):
         await fleet.add_worker("w1")
         first = await fleet.add_router("a")
@@ -759,13 +760,12 @@
         await fleet.put_manifest(2, LOOKUP)
         await fleet.wait(lambda: second.view.routes.manifest.version == 2)
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_router_started_while_the_store_is_silent_asks_a_router_at_once(monkeypatch):
-    # The store answers nothing, and routers are restarted.  Their balancer sends them
-    # clients, whom they refuse for as long as they know no manifest; any other router
-    # could give it to them.
+def test_router_started_while_the_store_hangs_asks_a_peer_at_once(monkeypatch):
+    # Guards against a restarted router that refuses clients for lack of a manifest
+    # while the store hangs, although any other router could provide it.
     async def act(fleet):
         async def say_nothing(reader, writer):
             await asyncio.Event().wait()
@@ -775,20 +775,20 @@
         silent = await asyncio.start_server(say_nothing, "127.0.0.1", 0)
         port = silent.sockets[0].getsockname()[1]
         fleet.store_address = f"127.0.0.1:{port}"
-        # Neither time may be what brings the manifest.
+        # Neither of these times may trigger the read of the manifest.
         monkeypatch.setattr(configuring, "PULL_AFTER_S", 3600.0)
-        monkeypatch.setattr(edge_app, "STORE_CALL_MAX_S", 3600.0)
-        monkeypatch.setattr(edge_app, "STORE_CALL_SHARE", 1800.0)
+        monkeypatch.setattr(edge_app, "STORE_CALL_TIMEOUT_MAX_S", 3600.0)
+        monkeypatch.setattr(edge_app, "STORE_CALL_TIMEOUT_SHARE", 1800.0)
         second = await fleet.add_router("second")
         assert (await ask(second, "/lookup/a")).status == 200
         silent.close()
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_stopping_router_finishes_what_it_has_read():
-    # A router is told to stop while a worker is at work.  The answer must still come,
-    # whole, and tell the client that the connection ends.
+def test_stopping_router_completes_requests_in_flight():
+    # Guards against responses that are cut off when a router stops while a worker still
+    # runs the request.  They must be complete and announce the connection's close.
     async def act(fleet):
         begun, may_end = asyncio.Event(), asyncio.Event()
 
@@ -811,12 +811,12 @@
         await draining
         client.close()
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_request_that_crashes_workers_stops_at_the_second():
-    # One request crashes each worker that runs it, and its client sends it again.
-    # Without a count it would take down every worker of the service.
+def test_request_that_crashes_workers_is_stopped_after_the_second():
+    # Guards against a request that crashes each worker that runs it: with its client
+    # retrying, it would take down all workers of the service.
     async def act(fleet):
         def crash(worker):
             async def act_once(request, writer):
@@ -831,12 +831,12 @@
         router = await fleet.add_router()
         for number in range(6):
             await ask(router, "/confirm/a", f"id-{number}", body=b"poison")
-            await asyncio.gather(*router.flow.attempts._checks)
+            await asyncio.gather(*router.flow.attempts._crash_checks)
         assert sum(len(worker.requests) for worker in fleet.workers) == 2
         answer = await ask(router, "/confirm/a", "id-9", body=b"poison")
         assert (answer.status, read_reason(answer)) == (503, "poison")
 
-    play(act)
+    run_in_fleet(act)
 
 
 def test_key_is_in_no_log_line(caplog):
@@ -845,15 +845,15 @@
         router = await fleet.add_router()
         await ask(router, "/lookup/a")
 
-    play(act)
+    run_in_fleet(act)
     assert KEY not in caplog.text
 
 
-def test_router_that_is_cut_off_from_a_service_has_clients_sent_elsewhere():
-    # A zone is cut off from the others and has no desk of its own. Its clients still
-    # reach its routers, which could only refuse them for as long as the cut lasts; a
-    # balancer that finds no router of a zone ready asks those of the next zone. What
-    # the zone can serve by itself is served meanwhile.
+def test_partitioned_router_sends_clients_to_other_zones():
+    # Guards against clients that stay with a router that can only refuse them. Its zone
+    # is partitioned from the others and has no worker of the service. The router must
+    # become unready, so that the balancer uses another zone, and still serve what its
+    # own zone can.
     async def act(fleet):
         near_route = make_route("/near/", "idempotent", service="near-desk")
         await fleet.put_manifest(2, *ROUTES, near_route)
@@ -880,12 +880,12 @@
         await fleet.wait(router.is_ready)
         assert (await ask(router, "/lookup/a", "id-3")).status == 200
 
-    play(act)
+    run_in_fleet(act)
 
 
-def test_idle_connection_ends_when_the_manifest_says_so():
-    # Clients disappear without a word and leave their connections behind. Each holds a
-    # descriptor, and a router whose descriptors are used up takes no new clients.
+def test_idle_connection_is_closed_after_the_timeout_of_the_manifest():
+    # Guards against a router that runs out of file descriptors because clients vanish
+    # without closing their connections, and then can't accept new ones.
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
@@ -899,4 +899,4 @@
         assert (await later.read()).status == 200
         assert await later.reader.read() == b""
 
-    play(act)
+    run_in_fleet(act)
--- a/tests/test_edge_golden.py
+++ b/tests/test_edge_golden.py
@@ -1,6 +1,6 @@
-"""Golden file of a session with router processes on the platform's interface.
+"""Golden file test of a router process on the platform's interface.
 
-``python tests/test_edge_golden.py`` writes it anew.
+``python tests/test_edge_golden.py`` regenerates the file.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
     return "\n".join([*lines, answer.body.decode(), ""])
 
 
-async def play(folder):
+async def run_session(folder):
     shown = []
     async with EdgeFleet() as fleet:
         await fleet.put_manifest(1, *ROUTES)
@@ -77,10 +77,10 @@
 
 
 def test_session_with_a_router_process(tmp_path):
-    assert asyncio.run(play(tmp_path)) == GOLDEN.read_text(encoding="utf-8")
+    assert asyncio.run(run_session(tmp_path)) == GOLDEN.read_text(encoding="utf-8")
 
 
 if __name__ == "__main__":
     with tempfile.TemporaryDirectory() as name:
-        GOLDEN.write_text(asyncio.run(play(Path(name))), encoding="utf-8")
+        GOLDEN.write_text(asyncio.run(run_session(Path(name))), encoding="utf-8")
     sys.exit(0)
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Connections at each moment of a router's end, on both interfaces."""
+"""Tests of connections at each stage of a router's shutdown, on both interfaces."""
 
 import asyncio
 import contextlib
@@ -57,8 +57,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _leave_at_once(monkeypatch):
-    monkeypatch.setattr(edge_app, "STILL_SERVED_S", 0.0)
+def _drain_at_once(monkeypatch):
+    monkeypatch.setattr(edge_app, "DRAIN_SERVING_S", 0.0)
 
 
 INTERFACES = pytest.mark.parametrize("run", [run_own, run_on_platform])
@@ -78,7 +78,7 @@
     return head.startswith("HTTP/1.1 503 ") and "Connection: close" in head and body
 
 
-async def end(router):
+async def shut_down(router):
     await router.drain()
     await router.stop()
 
@@ -93,30 +93,30 @@
 
 
 @INTERFACES
-def test_first_request_of_a_new_connection_is_answered_though_the_router_stops(run):
-    # Guards against a connection that is accepted just before the end, and closed
-    # without an answer to the request that its caller is about to send.
+def test_first_request_of_a_new_connection_is_answered_during_shutdown(run):
+    # Guards against a connection that is accepted just before the shutdown and closed
+    # without a response to the request that its caller is about to send.
     async def act():
         async with run() as (router, address, request):
             reader, writer = await connect(address)
-            ending = asyncio.create_task(end(router))
+            shutdown = asyncio.create_task(shut_down(router))
             await wait_refused(address)
             writer.write(request)
             answer = await read_all(reader)
-            await ending
+            await shutdown
             writer.close()
             return answer
 
     assert is_refusal(asyncio.run(act()))
 
 
-def test_connection_that_waits_to_be_accepted_is_answered_though_the_router_stops():
-    # Guards against a connection that the kernel has made and the router has not yet
-    # accepted: closing the listener resets it.
+def test_connection_in_the_backlog_is_answered_during_shutdown():
+    # Guards against the reset of a connection in the listener's backlog, which the
+    # router has not accepted when it closes the listener.
     async def act():
         async with run_own() as (router, address, request):
             await router.drain()
-            # The loop would accept it only in its next step.
+            # The event loop would accept it only in its next iteration.
             host, _, port = address.rpartition(":")
             caller = socket.create_connection((host, int(port)))
             stopping = asyncio.create_task(router.stop())
@@ -132,12 +132,12 @@
 
 
 @INTERFACES
-def test_connection_on_which_nothing_comes_does_not_hold_up_the_end(run):
-    # Guards against a router that waits for ever for a caller who sends nothing.
+def test_silent_connection_does_not_delay_the_shutdown(run):
+    # Guards against a shutdown that waits forever for a caller that sends nothing.
     async def act():
         async with run() as (router, address, _):
             reader, writer = await connect(address)
-            await end(router)
+            await shut_down(router)
             answer = await read_all(reader)
             writer.close()
             return answer
@@ -146,19 +146,19 @@
 
 
 @INTERFACES
-def test_kept_connection_ends_with_its_next_answer_while_the_router_leaves(run):
-    # Guards against a caller who goes on sending on a kept connection until it is
-    # closed under one of its requests.
+def test_kept_alive_connection_closes_after_its_next_response_while_draining(run):
+    # Guards against a caller that keeps using a connection until it is closed during
+    # one of its requests.
     async def act():
         async with run() as (router, address, request):
             reader, writer = await connect(address)
             writer.write(request)
             await reader.readuntil(b"\r\n\r\n")
-            leaving = asyncio.create_task(router.drain())
+            draining = asyncio.create_task(router.drain())
             await asyncio.sleep(0)
             writer.write(request)
             answer = await read_all(reader)
-            await leaving
+            await draining
             await router.stop()
             writer.close()
             return answer
