--- a/src/tamarackrill/router/early_listener.py
+++ b/src/tamarackrill/router/early_listener.py
@@ -1,17 +1,17 @@
-"""Takes callers' connections while the rest of a router is still being loaded."""
+"""Opens the callers' listener before the rest of a router is loaded."""
 
 import socket
 
-# All callers of a router come back at once after a loss of all; the kernel of a caller
-# beyond these repeats its handshake only after a second.
+# After an outage of all routers, all callers reconnect at once.  When the backlog is
+# full, a caller's kernel retries the handshake only after a second.
 BACKLOG = 1024
 
 
 def open_listener(address: str) -> socket.socket:
-    """Return a socket that listens at ``host:port``.
+    """Return a socket that listens on ``host:port``.
 
-    A process needs most of a second of a small VM's processor to load its modules.
-    Callers that find nobody give up or spend a retry; those that are connected wait.
+    Loading the modules takes most of a second of CPU time on a small VM.  Callers whose
+    connection is refused give up or use up a retry; connected ones wait.
     """
     host, _, port = address.rpartition(":")
     listener = socket.socket()
--- a/src/tamarackrill/router/edge_daemon.py
+++ b/src/tamarackrill/router/edge_daemon.py
@@ -1,4 +1,4 @@
-"""``tamarackrill-edge``: one router on the platform, until SIGTERM."""
+"""``tamarackrill-edge``: runs one router on the platform until SIGTERM."""
 
 import sys
 
@@ -11,16 +11,16 @@
 
 
 def _run(signals: Signals) -> None:
-    # Each import comes as late as it may: first the handlers of signals stand, then
-    # callers are let in, and the rest takes far longer than both.
+    # Imports are deferred: signal handlers are installed first, then the listener is
+    # opened, and loading the remaining modules takes far longer than both.
     from tamarackrill.router.binding import check_usable, report_unusable
     from tamarackrill.router.early_listener import open_listener
-    from tamarackrill.router.edge_options import list_uses, read_options
+    from tamarackrill.router.edge_options import list_listen_addresses, read_options
 
     options = read_options()
     if signals.stop_told_s is not None:
         return
-    check_usable(list_uses(options))
+    check_usable(list_listen_addresses(options))
     settings = options.settings
     address = settings.callers_address
     with report_unusable(settings.find_place("callers_address"), address):
--- a/src/tamarackrill/router/edge_options.py
+++ b/src/tamarackrill/router/edge_options.py
@@ -1,4 +1,4 @@
-"""What the platform's daemon is told: its settings file, and its environment."""
+"""Reads the options of the platform's daemon from settings file and environment."""
 
 import os
 import socket
@@ -17,25 +17,27 @@
 
 PEER_KEYS_VARIABLE = "TAMARACKRILL_PEER_KEYS"
 METRICS_PORT_VARIABLE = "TAMARACKRILL_METRICS_PORT"
-# Where other routers reach this one, if addresses are translated on the way.
+# Address at which other routers reach this one behind address translation.
 PEER_ADDRESS_VARIABLE = "TAMARACKRILL_PEER_ADDRESS"
-# Named in the deploy file as well, which knows no ports of the day.
+# Default port, repeated in the deploy file, which can't use ports assigned at run time.
 METRICS_PORT = 9464
 
 
 class EdgeOptions(NamedTuple):
-    """Checked options of one router.
+    """Validated options of one router.
 
     Parameters
     ----------
     settings : PlatformSettings
-        Those of the file.
+        Contents of the settings file.
     peer_keys : tuple of str
-        Prove the messages between routers; the first signs, all verify.
+        Keys that authenticate messages between routers; the first one signs, all of
+        them verify.
     metrics_port : int
-        Where metrics are served.
+        Port of the metrics endpoint.
     peer_address : str
-        Where other routers reach this one, if it isn't what it listens at.
+        Address at which other routers reach this one, if it differs from the listen
+        address.
     """
 
     settings: PlatformSettings
@@ -45,12 +47,12 @@
 
 
 def read_options() -> EdgeOptions:
-    """Return the options of this process.
+    """Read and validate the options of this process.
 
     Raises
     ------
     FindingsError
-        With all faults of the environment, or else of the file.
+        With all errors in the environment or, if there are none, in the settings file.
     """
     path = os.environ.get(PATH_VARIABLE, "")
     keys = os.environ.get(PEER_KEYS_VARIABLE, "").split(",")
@@ -61,7 +63,7 @@
     if not path:
         findings.append(Finding(PATH_VARIABLE, "is not set"))
     if not peer_keys:
-        findings.append(Finding(PEER_KEYS_VARIABLE, "holds no key"))
+        findings.append(Finding(PEER_KEYS_VARIABLE, "contains no key"))
     if not port.isdigit() or not 0 < int(port) <= PORT_MAX:
         findings.append(Finding(METRICS_PORT_VARIABLE, f"{port!r} is no port"))
     if peer_address and not is_address(peer_address):
@@ -73,8 +75,8 @@
     return EdgeOptions(settings, peer_keys, int(port), peer_address)
 
 
-def list_uses(options: EdgeOptions) -> list[Use]:
-    """Return all addresses that a router listens at."""
+def list_listen_addresses(options: EdgeOptions) -> list[Use]:
+    """Return all addresses that a router listens on."""
     settings = options.settings
     peer_address = f"{settings.ip}:{settings.peer_port}"
     peers = settings.find_place("peer_port")
--- a/src/tamarackrill/router/edge_pages.py
+++ b/src/tamarackrill/router/edge_pages.py
@@ -1,4 +1,4 @@
-"""What a router on the platform answers to its balancer and to scrapers."""
+"""Readiness and metrics pages of a router on the platform."""
 
 from collections.abc import Callable
 
@@ -8,12 +8,12 @@
 
 
 def make_readiness_page(is_ready: Callable[[], bool]) -> Application:
-    """Return what answers the balancer: 200 if it may send new connections."""
+    """Return the readiness page: 200 if the balancer may send new connections."""
     return Application([("/readiness", _ReadinessHandler, {"is_ready": is_ready})])
 
 
 def make_metrics_page(metrics: Metrics) -> Application:
-    """Return what answers scrapers, with all metrics as text."""
+    """Return the metrics page for scrapers, in the Prometheus text format."""
     return Application([("/metrics", _MetricsHandler, {"metrics": metrics})])
 
 
--- a/src/tamarackrill/router/edge_process.py
+++ b/src/tamarackrill/router/edge_process.py
@@ -1,4 +1,4 @@
-"""Runs one router on the platform in this process, until it is told to stop."""
+"""Runs one router on the platform in this process until a stop signal."""
 
 import asyncio
 import socket
@@ -16,11 +16,11 @@
     Parameters
     ----------
     options : EdgeOptions
-        Checked options.
+        Validated options.
     listener : socket.socket
-        Listens for callers already.
+        Socket that already listens for callers.
     signals : Signals
-        Those of this process.
+        Signals received by this process.
     """
     log = set_up_bounded_logs()
 
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave while separate routers send to them."""
+"""Tests of endpoints that drain while several router processes send to them."""
 
 import pytest
 
@@ -21,10 +21,10 @@
 
 
 @pytest.mark.parametrize("leave", [_leave_by_object, _leave_by_vm_list])
-def test_leaving_endpoint_gets_no_new_work_from_any_router(leave):
-    # A worker is taken down: its own object says so, or only the platform's VM list.
-    # A router that reads just the other source would go on sending, and its callers'
-    # lookups would be cut when the worker goes.
+def test_leaving_endpoint_gets_no_new_requests_from_any_router(leave):
+    # Guards against requests cut off when a worker shuts down.  Its own object or only
+    # the platform's VM list says that it leaves; a router that reads just the other
+    # source would keep sending to it.
     with FleetProcesses() as fleet:
         leaving, _ = (fleet.add_service(f"worker-{number}") for number in (1, 2))
         fleet.put_contract(CONTRACT)
@@ -48,9 +48,9 @@
         fleet.publish_vms()
 
 
-def test_endpoint_whose_vm_is_not_listed_goes_on():
-    # The VM list lags behind and has lost a VM, or not got it yet.  Were that taken
-    # for leaving, callers would be refused though the worker runs.
+def test_endpoint_whose_vm_is_not_listed_is_still_used():
+    # Guards against refused requests when the VM list lags behind and lacks the VM of a
+    # running worker: that must not be taken for leaving.
     with FleetProcesses() as fleet:
         fleet.add_service("worker-1")
         fleet.put_contract(CONTRACT)
--- a/tests/test_starting.py
+++ b/tests/test_starting.py
@@ -1,4 +1,4 @@
-"""A router that starts while callers already connect."""
+"""Tests of a router that starts while callers already connect."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from tamarackrill.testing.edge import EdgeClient, EdgeFleet, make_route, read_reason
 
 LOOKUP = make_route("/lookup/", "idempotent")
-# Each takes some ten ms and more to load, of a whole core.
+# Each of these takes ten or more ms of a whole core to load.
 LOADED_LATER = (
     "absl",
     "asyncio",
@@ -29,7 +29,7 @@
 )
 
 
-# Runs the daemon up to where it would listen.
+# Runs the daemon up to the point where it would listen.
 UP_TO_LISTENING = """
 import os
 from tamarackrill.router import early_listener, edge_daemon
@@ -81,14 +81,14 @@
 
 
 @pytest.mark.parametrize("module", LOADED_LATER)
-def test_what_takes_long_to_load_is_not_loaded_before_callers_can_connect(
+def test_slow_module_is_not_loaded_before_callers_can_connect(
     module, loaded_before_listening
 ):
-    # Guards against callers that find nobody for seconds after a loss of all.
+    # Guards against connections refused for seconds after an outage of all routers.
     assert module not in loaded_before_listening
 
 
-def test_settings_in_json_are_read_without_a_parser_for_yaml():
+def test_json_settings_are_read_without_a_yaml_parser():
     text = json.dumps({"node_name": "edge-1", "bounds": {"config_ms": 2000}})
     statement = (
         "from tamarackrill.exceptions import FindingsError\n"
@@ -98,14 +98,14 @@
     assert "yaml" not in list_loaded(statement)
 
 
-def test_settings_mean_the_same_in_json_and_in_yaml():
+def test_settings_are_the_same_in_json_and_yaml():
     as_json = parse_settings("s", json.dumps(SETTINGS))
     as_yaml = parse_settings("s", "# not JSON\n" + json.dumps(SETTINGS))
     assert as_json == as_yaml
     assert as_json.link_bytes_per_s == 2_500_000.0
 
 
-def play(act):
+def run_while_starting(act):
     async def run():
         async with EdgeFleet() as fleet:
             await fleet.put_manifest(1, LOOKUP)
@@ -117,8 +117,8 @@
     asyncio.run(run())
 
 
-def test_caller_who_connects_before_the_router_has_started_is_served():
-    # Guards against callers that find nobody listening and spend their only retry.
+def test_caller_that_connects_before_the_router_has_started_is_served():
+    # Guards against callers that use up their only retry on a refused connection.
     async def act(fleet, router, worker, listener, address):
         client = await EdgeClient.connect(address)
         client.send("/lookup/a")
@@ -127,11 +127,11 @@
         assert answer.status == 200
         client.close()
 
-    play(act)
+    run_while_starting(act)
 
 
-def test_caller_who_has_left_before_the_router_started_costs_no_work():
-    # Guards against requests at workers whose callers are long gone.
+def test_request_of_a_caller_that_has_disconnected_is_not_sent():
+    # Guards against requests sent to workers after their callers have disconnected.
     async def act(fleet, router, worker, listener, address):
         left = await EdgeClient.connect(address)
         left.send("/lookup/left", "id-left")
@@ -144,12 +144,12 @@
         client.close()
         assert [r.target for r in worker.requests] == ["/lookup/stays"]
 
-    play(act)
+    run_while_starting(act)
 
 
-def test_caller_is_told_to_come_back_while_no_manifest_can_be_had():
-    # Guards against callers that are held until their deadline by a router that knows
-    # of no manifest.
+def test_caller_is_told_to_retry_while_there_is_no_manifest():
+    # Guards against callers kept waiting until their deadline by a router without a
+    # manifest.
     async def act(fleet, router, worker, listener, address):
         fleet.store.status = 503
         client = await EdgeClient.connect(address)
@@ -161,4 +161,4 @@
         assert float(answer.headers["retry-after"]) > 0
         client.close()
 
-    play(act)
+    run_while_starting(act)
