--- a/src/tamarackrill/router/app.py
+++ b/src/tamarackrill/router/app.py
@@ -35,7 +35,7 @@
 from tamarackrill.router.claiming import Claimer
 from tamarackrill.router.configuring import KINDS, Configurer
 from tamarackrill.router.datagrams import PeerSocket
-from tamarackrill.router.ending_server import EndingServer
+from tamarackrill.router.ending_server import DrainingServer
 from tamarackrill.router.explaining import Question, explain
 from tamarackrill.router.flow import Flow
 from tamarackrill.router.front import Front, OpenCalls
@@ -251,7 +251,7 @@
             self._faulty_task = task.get_name()
 
     def _serve_callers(self, sockets: list[socket.socket]) -> None:
-        self._server = EndingServer(
+        self._server = DrainingServer(
             self._make_web_application(),
             # The handler itself refuses a body that is too long, with a code.
             max_body_size=UNLIMITED_BYTES,
--- a/src/tamarackrill/router/edge_server.py
+++ b/src/tamarackrill/router/edge_server.py
@@ -27,7 +27,7 @@
 from tamarackrill.router.edge_calls import EdgeCall, find_shared_prefixes
 from tamarackrill.router.edge_flow import EdgeFlow
 from tamarackrill.router.edge_reply import EdgeReply
-from tamarackrill.router.ending_server import EndingServer
+from tamarackrill.router.ending_server import DrainingServer
 from tamarackrill.router.metrics import Metrics
 
 # Twice the limit of known manifests. Headers above the manifest's limit get a 431; the
@@ -102,7 +102,7 @@
         self.accepts_requests = True
         self.is_outdated: Callable[[], bool] = lambda: False
         self.in_flight: set[asyncio.Task[None]] = set()
-        self.server = EndingServer(
+        self.server = DrainingServer(
             self,
             max_header_size=HEADERS_READ_MAX_BYTES,
             max_body_size=UNLIMITED_BYTES,
--- a/src/tamarackrill/router/ending_server.py
+++ b/src/tamarackrill/router/ending_server.py
@@ -15,7 +15,7 @@
 FIRST_REQUEST_TIMEOUT_S = 1.0
 
 
-class EndingServer(HTTPServer):
+class DrainingServer(HTTPServer):
     """Tornado HTTP server that tracks connections without a first response.
 
     A caller that has just connected is about to send a request.  If its connection were
