--- a/src/tamarackrill/router/app.py
+++ b/src/tamarackrill/router/app.py
@@ -35,7 +35,7 @@
 from tamarackrill.router.claiming import Claimer
 from tamarackrill.router.configuring import KINDS, Configurer
 from tamarackrill.router.datagrams import PeerSocket
-from tamarackrill.router.ending_server import DrainingServer
+from tamarackrill.router.draining_server import DrainingServer
 from tamarackrill.router.explaining import Question, explain
 from tamarackrill.router.flow import Flow
 from tamarackrill.router.front import Front, OpenCalls
--- a/src/tamarackrill/router/edge_server.py
+++ b/src/tamarackrill/router/edge_server.py
@@ -24,10 +24,10 @@
 from tamarackrill.events import CALL_LEFT, CALL_REFUSED, TASK_FAILED, log_event
 from tamarackrill.platform.headers import CallHeaders, read_call, write_refusal
 from tamarackrill.router.deployment_view import DeploymentView
+from tamarackrill.router.draining_server import DrainingServer
 from tamarackrill.router.edge_calls import EdgeCall, find_shared_prefixes
 from tamarackrill.router.edge_flow import EdgeFlow
 from tamarackrill.router.edge_reply import EdgeReply
-from tamarackrill.router.ending_server import DrainingServer
 from tamarackrill.router.metrics import Metrics
 
 # Twice the limit of known manifests. Headers above the manifest's limit get a 431; the
