--- a/bench/capacity_page.py
+++ b/bench/capacity_page.py
@@ -4,7 +4,7 @@
 from typing import Any, NamedTuple
 
 from slopes import Fit
-from tamarackrill.router.app import VM_LIST_WAIT_S
+from tamarackrill.router.app import VM_LIST_POLL_S
 from tamarackrill.router.configuring import KINDS
 from tamarackrill.router.platform_client import WATCH_WAIT_S
 
@@ -305,7 +305,7 @@
     changes_per_s = CHANGES_A_DAY / DAY_S
     reopened = NODES * len(KINDS) / WATCH_WAIT_S
     woken = NODES * changes_per_s
-    lists = NODES / VM_LIST_WAIT_S
+    lists = NODES / VM_LIST_POLL_S
     reads = reopened + woken + lists
     claim_writes = figures.get("claims_writes_per_s")
     claim_reads = figures.get("claims_reads_per_s")
@@ -317,7 +317,7 @@
         f"| watches opened again | {reopened:.0f} | {NODES} nodes, {len(KINDS)} kinds, "
         f"each {WATCH_WAIT_S:.0f} s |",
         f"| watches woken by changes | {woken:.0f} | each change wakes all nodes |",
-        f"| VM list | {lists:.0f} | each node, each {VM_LIST_WAIT_S:g} s |",
+        f"| VM list | {lists:.0f} | each node, each {VM_LIST_POLL_S:g} s |",
         f"| reads of claims | {_show(claim_reads)} | see bench/claims.py |",
         f"| writes of claims | {_show(claim_writes)} | see bench/claims.py |",
         f"| writes of contracts | {changes_per_s:.3f} | {CHANGES_A_DAY:,} a day |",
@@ -421,7 +421,7 @@
 def _format_misses(figures: Figures) -> str:
     event_us = _get(figures, "event_us", lambda line: line.slope)
     share = _times(event_us, NODE_EVENTS_PER_S * PASSES)
-    lists = NODES / VM_LIST_WAIT_S
+    lists = NODES / VM_LIST_POLL_S
     lines = ["## What misses its limit, and what would mend it", ""]
     if figures["base_rss_mb"] > MEMORY_MAX_MB:
         lines.append(
--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -4,7 +4,7 @@
 from tamarackrill.contracts import hash_key
 from tamarackrill.decisions.configuration import ConfigurationStore, ObjectVersion
 from tamarackrill.decisions.hashing import rendezvous_order
-from tamarackrill.router.calls import find_contract
+from tamarackrill.router.calls import authenticate
 from tamarackrill.router.known_objects import KnownObjects
 
 TEAMS = (100, 500, 1000, 2300)
@@ -34,7 +34,7 @@
         }
         known.take(ObjectVersion("contract", f"t{number}", number + 1, value))
     header = f"Bearer k{teams // 2}"
-    return time_us(lambda: find_contract(known.find_holder, header), 500)
+    return time_us(lambda: authenticate(known.find_holder, header), 500)
 
 
 def _time_order(members: int, count: int) -> float:
--- a/src/tamarackrill/router/app.py
+++ b/src/tamarackrill/router/app.py
@@ -59,7 +59,7 @@
 from tamarackrill.router.views import make_front
 from tamarackrill.settings import Settings
 
-VM_LIST_WAIT_S = 1.0
+VM_LIST_POLL_S = 1.0
 INCARNATION_DIGITS = 16
 UNLIMITED_BYTES = 1 << 40
 BUFFER_MAX_BYTES = 256 * 1024
@@ -425,4 +425,4 @@
                 self.known.update_vm_list(vms)
             except PlatformUnavailable:
                 pass
-            await asyncio.sleep(VM_LIST_WAIT_S)
+            await asyncio.sleep(VM_LIST_POLL_S)
--- a/src/tamarackrill/router/callers.py
+++ b/src/tamarackrill/router/callers.py
@@ -7,7 +7,7 @@
 from tamarackrill.decisions.hashing import rendezvous_order
 from tamarackrill.events import REQUEST_FORWARDED, log_event
 from tamarackrill.exceptions import Refusal
-from tamarackrill.router.calls import Call, find_contract, read_call
+from tamarackrill.router.calls import Call, authenticate, read_call
 from tamarackrill.router.claiming import HeldElsewhere
 from tamarackrill.router.forwarding import (
     MAY_HAVE_RUN,
@@ -122,7 +122,7 @@
         try:
             self._check_size(int(self.request.headers.get("Content-Length", "0")))
             authorization = self.request.headers.get("Authorization", "")
-            self._contract = find_contract(front.find_holder, authorization)
+            self._contract = authenticate(front.find_holder, authorization)
             if front.is_leaving():
                 raise Refusal(LEAVING_CODE, 503, "this router is leaving")
         except Refusal as refusal:
@@ -248,7 +248,7 @@
             head = await reply.head()
             self.begin(head)
             outlet = _CallerOutlet(self, call.stream)
-            await reply.pump(outlet, call.after_event)
+            await reply.pump(outlet, call.last_event_id)
             outlet.finish()
         except HeldElsewhere as held:
             await self._ask_holder(call, held)
--- a/src/tamarackrill/router/calls.py
+++ b/src/tamarackrill/router/calls.py
@@ -74,7 +74,7 @@
         False if the contract says that the call may run at most once.
     stream : bool
         Whether the answer is a stream of server-sent events.
-    after_event : int
+    last_event_id : int
         The caller has the events up to this one.
     deadline_s : float
         Latest time of the answer, on the clock of this router.
@@ -99,7 +99,7 @@
     key: str
     idempotent: bool
     stream: bool
-    after_event: int
+    last_event_id: int
     deadline_s: float
     size_tokens: int
     priority: int
@@ -121,7 +121,7 @@
         return f"{self.team}\n{name}" if name else ""
 
 
-def find_contract(
+def authenticate(
     find_holder: Callable[[str], Contract | None], authorization: str
 ) -> Contract:
     """Return the contract whose key the caller holds.
@@ -213,7 +213,7 @@
         key=key,
         idempotent=idempotent,
         stream=bool(fields.get("stream")),
-        after_event=_read_integer(headers, "Last-Event-ID", 0, 1 << 53) or 0,
+        last_event_id=_read_integer(headers, "Last-Event-ID", 0, 1 << 53) or 0,
         deadline_s=now_s + _read_timeout(contract, headers),
         size_tokens=size_tokens,
         priority=_read_priority(contract, headers),
--- a/src/tamarackrill/router/chats.py
+++ b/src/tamarackrill/router/chats.py
@@ -118,7 +118,7 @@
         identity = _identify(call)
         if identity is not None:
             expires_s = now_s + call.contract.answers_kept_s
-            is_kept = reply.is_whole or _is_held_out_of_turn(call, reply)
+            is_kept = reply.is_complete or _is_held_out_of_turn(call, reply)
             self._forget(
                 finish(self._answers, identity, reply.size_bytes, is_kept, expires_s)
             )
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -422,7 +422,7 @@
             await asyncio.sleep(HOUSEKEEPING_EVERY_S)
             self._note_lag(self.clock() - due_s)
             self.view.expire(self.clock())
-            self.flow.attempts.paths.ask_due()
+            self.flow.attempts.paths.probe_due()
             if self.cut_off.look():
                 # A kept connection stays with its router, whatever the balancer does.
                 self.server.sends_elsewhere = self.cut_off.is_cut_off
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -30,7 +30,7 @@
 from tamarackrill.router.edge_placing import EdgePlaced, EdgePlacer
 from tamarackrill.router.edge_reply import EdgeReply
 from tamarackrill.router.metrics import Metrics
-from tamarackrill.router.paths import CONNECT_TIMEOUT_S, Paths
+from tamarackrill.router.paths import CONNECT_TIMEOUT_S, PathProber
 
 # Answers that belong to earlier requests, read over before the connection is given up.
 FOREIGN_ANSWERS_MAX = 2
@@ -109,7 +109,7 @@
         self._clock = clock
         self._checks: set[asyncio.Task[None]] = set()
         self.pool = ChannelPool()
-        self.paths = Paths(
+        self.paths = PathProber(
             placer.reach,
             placer.list_endpoints,
             lambda: placer.list_witnesses(),
@@ -177,7 +177,7 @@
         try:
             return await open_channel(endpoint.address, timeout_s)
         except OSError as error:
-            self.paths.note_failure(endpoint, error)
+            self.paths.record_failure(endpoint, error)
             self._metrics.count("connects_failed", endpoint.zone)
             return Result("not_sent", repr(error))
 
@@ -206,7 +206,7 @@
             note_first()
             first_s = self._clock() - started_s
             self._placer.observe_first(call, placed.endpoint, self._clock())
-            self.paths.note_answer(placed.endpoint)
+            self.paths.record_answer(placed.endpoint)
             if facts.load is not None:
                 self._placer.observe_load(placed, facts.load, self._clock())
             async with asyncio.timeout_at(call.limit_s + RESPONSE_TRANSIT_S):
@@ -355,7 +355,7 @@
         try:
             channel = await open_channel(placed.endpoint.address, CONNECT_TIMEOUT_S)
         except OSError as error:
-            self.paths.note_failure(placed.endpoint, error)
+            self.paths.record_failure(placed.endpoint, error)
             if isinstance(error, ConnectionRefusedError):
                 self._note_crash(call, placed.endpoint.name)
         else:
--- a/src/tamarackrill/router/explaining.py
+++ b/src/tamarackrill/router/explaining.py
@@ -141,7 +141,7 @@
         key="",
         idempotent=True,
         stream=False,
-        after_event=0,
+        last_event_id=0,
         deadline_s=now_s,
         size_tokens=1,
         priority=contract.priority,
--- a/src/tamarackrill/router/flow.py
+++ b/src/tamarackrill/router/flow.py
@@ -79,7 +79,7 @@
         known = self._chats.find(call, self._clock())
         if known is not None:
             return known
-        if call.after_event:
+        if call.last_event_id:
             # The events that the caller has are of a run that is no longer known
             # here.  A new run would go on with other words, and the caller would put
             # two half answers together.
--- a/src/tamarackrill/router/forwarding.py
+++ b/src/tamarackrill/router/forwarding.py
@@ -86,8 +86,8 @@
         headers[MAY_HAVE_RUN] = "1"
     if call.sequence is not None:
         headers["Chat-Sequence"] = str(call.sequence)
-    if call.after_event:
-        headers["Last-Event-ID"] = str(call.after_event)
+    if call.last_event_id:
+        headers["Last-Event-ID"] = str(call.last_event_id)
     path = call.path
     if not path.startswith(CHAT_PATH):
         path = f"{SERVICES_PATH}{call.pool}{call.path}"
--- a/src/tamarackrill/router/paths.py
+++ b/src/tamarackrill/router/paths.py
@@ -14,7 +14,7 @@
 CONNECT_TIMEOUT_S = 0.15
 
 
-class Paths:
+class PathProber:
     """Keeps `Reachability` up to date.
 
     Parameters
@@ -47,7 +47,7 @@
         self._clock = clock
         self._asked: dict[str, asyncio.Task[None]] = {}
 
-    def note_failure(self, endpoint: Endpoint, error: Exception) -> None:
+    def record_failure(self, endpoint: Endpoint, error: Exception) -> None:
         """Take that no connection could be made, or that one died."""
         self._drop_idle(endpoint.name)
         if not self._reach.observe_failure(endpoint, self._clock()):
@@ -67,12 +67,12 @@
             for suspect in suspects:
                 self.ask(suspect)
 
-    def note_answer(self, endpoint: Endpoint) -> None:
+    def record_answer(self, endpoint: Endpoint) -> None:
         """Take that an endpoint has answered."""
         if self._reach.observe_answer(endpoint):
             log_event(ENDPOINT_REACHED, endpoint=endpoint.name, zone=endpoint.zone)
 
-    def ask_due(self) -> None:
+    def probe_due(self) -> None:
         """Ask those whose pause is over."""
         if not self._reach.unreachable:
             return
@@ -96,10 +96,10 @@
         try:
             channel = await open_channel(endpoint.address, CONNECT_TIMEOUT_S)
         except OSError as error:
-            self.note_failure(endpoint, error)
+            self.record_failure(endpoint, error)
         else:
             channel.close()
-            self.note_answer(endpoint)
+            self.record_answer(endpoint)
 
     async def stop(self) -> None:
         """End all questions."""
--- a/src/tamarackrill/router/replies.py
+++ b/src/tamarackrill/router/replies.py
@@ -65,7 +65,7 @@
         return self._finished
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the run ended and all of the answer can still be read."""
         return self._finished and self._refusal is None and not self._dropped
 
--- a/tests/test_known_objects.py
+++ b/tests/test_known_objects.py
@@ -3,7 +3,7 @@
 from tamarackrill.contracts import hash_key
 from tamarackrill.decisions.configuration import ObjectVersion
 from tamarackrill.exceptions import Refusal
-from tamarackrill.router.calls import find_contract
+from tamarackrill.router.calls import authenticate
 from tamarackrill.router.known_objects import KnownObjects
 
 
@@ -19,9 +19,9 @@
 def test_key_follows_each_change_of_the_contract():
     known = KnownObjects()
     take(known, "a", 1, "old")
-    assert find_contract(known.find_holder, "Bearer old").team == "a"
+    assert authenticate(known.find_holder, "Bearer old").team == "a"
     take(known, "a", 2, "old", "new")
-    assert find_contract(known.find_holder, "bearer new").team == "a"
+    assert authenticate(known.find_holder, "bearer new").team == "a"
     take(known, "a", 3, "new")
     for header in (
         "Bearer old",
@@ -31,10 +31,10 @@
         "Bearer " + hash_key("new"),
     ):
         with pytest.raises(Refusal, match="not known"):
-            find_contract(known.find_holder, header)
+            authenticate(known.find_holder, header)
     take(known, "a", 4)
     with pytest.raises(Refusal):
-        find_contract(known.find_holder, "Bearer new")
+        authenticate(known.find_holder, "Bearer new")
 
 
 def test_key_of_two_contracts_names_the_same_one_everywhere():
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -175,7 +175,7 @@
         key="",
         idempotent=True,
         stream=False,
-        after_event=0,
+        last_event_id=0,
         deadline_s=time.monotonic() + 30.0,
         size_tokens=1,
         priority=0,
