--- a/src/tamarackrill/router/paths.py
+++ b/src/tamarackrill/router/paths.py
@@ -1,4 +1,4 @@
-"""Asks by connections of its own which endpoints can be reached."""
+"""Probes which endpoints are reachable, by connections of its own."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,27 +9,27 @@
 from tamarackrill.router.background import log_failure
 from tamarackrill.router.channels import open_channel
 
-# A path inside a region takes 3 ms; the opening packet is sent again after a second,
-# and by then another endpoint has answered.
+# Connecting within a region takes 3 ms.  A lost SYN is sent again only after 1 s, and
+# by then another endpoint has answered.
 CONNECT_TIMEOUT_S = 0.15
 
 
 class PathProber:
-    """Keeps `Reachability` up to date.
+    """Keeps `Reachability` up to date from probes and from the results of requests.
 
     Parameters
     ----------
     reach : Reachability
-        What is known.
+        Reachability of the endpoints, updated here.
     list_endpoints : callable
         Returns all endpoints known now.
     list_witnesses : callable
-        Returns routers of other zones, whose paths tell a cut from endpoints that have
-        ended.
+        Returns routers of other zones; probes of them tell a network partition from
+        endpoints that have stopped.
     drop_idle : callable
         Closes the idle connections to an endpoint by its name.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
         self._list_witnesses = list_witnesses
         self._drop_idle = drop_idle
         self._clock = clock
-        self._asked: dict[str, asyncio.Task[None]] = {}
+        self._probes: dict[str, asyncio.Task[None]] = {}
 
     def record_failure(self, endpoint: Endpoint, error: Exception) -> None:
-        """Take that no connection could be made, or that one died."""
+        """Record that a connection could not be made or was lost."""
         self._drop_idle(endpoint.name)
         if not self._reach.observe_failure(endpoint, self._clock()):
             return
@@ -58,41 +58,42 @@
             zone=endpoint.zone,
             detail=repr(error),
         )
-        # One that refuses connections has ended; its neighbours need not have.
+        # A refused connection means that only this endpoint has stopped; other errors
+        # may affect other endpoints too.
         if not isinstance(error, ConnectionRefusedError):
             endpoints = self._list_endpoints()
             suspects = self._reach.list_same_zone(endpoint, endpoints)
             suspects += self._reach.list_other_zones(endpoint, endpoints)
             suspects += self._list_witnesses()
             for suspect in suspects:
-                self.ask(suspect)
+                self.probe(suspect)
 
     def record_answer(self, endpoint: Endpoint) -> None:
-        """Take that an endpoint has answered."""
+        """Record that an endpoint has answered."""
         if self._reach.observe_answer(endpoint):
             log_event(ENDPOINT_REACHED, endpoint=endpoint.name, zone=endpoint.zone)
 
     def probe_due(self) -> None:
-        """Ask those whose pause is over."""
+        """Probe the unreachable endpoints whose backoff has passed."""
         if not self._reach.unreachable:
             return
         endpoints = [*self._list_endpoints(), *self._list_witnesses()]
         for endpoint in self._reach.list_due(endpoints, self._clock()):
-            self.ask(endpoint)
+            self.probe(endpoint)
 
-    def ask(self, endpoint: Endpoint) -> None:
-        """Ask an endpoint, unless that is under way."""
-        if endpoint.name in self._asked:
+    def probe(self, endpoint: Endpoint) -> None:
+        """Start a probe of an endpoint, unless one is running."""
+        if endpoint.name in self._probes:
             return
-        task = asyncio.create_task(self._ask(endpoint), name="ask path")
-        self._asked[endpoint.name] = task
+        task = asyncio.create_task(self._probe(endpoint), name="ask path")
+        self._probes[endpoint.name] = task
         task.add_done_callback(lambda done: self._end(endpoint.name, done))
 
     def _end(self, name: str, task: asyncio.Task[None]) -> None:
-        del self._asked[name]
+        del self._probes[name]
         log_failure(task)
 
-    async def _ask(self, endpoint: Endpoint) -> None:
+    async def _probe(self, endpoint: Endpoint) -> None:
         try:
             channel = await open_channel(endpoint.address, CONNECT_TIMEOUT_S)
         except OSError as error:
@@ -102,8 +103,8 @@
             self.record_answer(endpoint)
 
     async def stop(self) -> None:
-        """End all questions."""
-        tasks = list(self._asked.values())
+        """Cancel all running probes."""
+        tasks = list(self._probes.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
