--- a/src/tamarackrill/router/app.py
+++ b/src/tamarackrill/router/app.py
@@ -1,4 +1,4 @@
-"""The application object: owns every resource of the daemon and its clean-up."""
+"""The router application: creates and closes every resource of the daemon."""
 
 import asyncio
 import socket
@@ -36,9 +36,9 @@
 from tamarackrill.router.configuring import KINDS, Configurer
 from tamarackrill.router.datagrams import PeerSocket
 from tamarackrill.router.ending_server import EndingServer
-from tamarackrill.router.explaining import Question, explain
-from tamarackrill.router.flow import Flow
-from tamarackrill.router.front import Front, OpenCalls
+from tamarackrill.router.explaining import ExplainQuery, explain
+from tamarackrill.router.flow import CallRunner
+from tamarackrill.router.front import FrontContext, OpenCalls
 from tamarackrill.router.gossip import Gossiper
 from tamarackrill.router.known_objects import KnownObjects
 from tamarackrill.router.limiting import Limiter
@@ -56,7 +56,7 @@
 from tamarackrill.router.platform_client import PlatformClient
 from tamarackrill.router.probing import Prober
 from tamarackrill.router.upstream import close_client, make_client
-from tamarackrill.router.views import make_front
+from tamarackrill.router.views import make_front_application
 from tamarackrill.settings import Settings
 
 VM_LIST_POLL_S = 1.0
@@ -64,8 +64,8 @@
 UNLIMITED_BYTES = 1 << 40
 BUFFER_MAX_BYTES = 256 * 1024
 HEADERS_MAX_BYTES = 32 * 1024
-# A caller that sends a header or a body byte by byte would hold a connection for
-# ever; the balancer's own idle time is usually 60 s.
+# Without these timeouts a client that sends its headers or body byte by byte would
+# hold a connection for ever.  A load balancer's idle timeout is usually 60 s.
 HEADERS_TIMEOUT_S = 75.0
 BODY_TIMEOUT_S = 30.0
 
@@ -81,7 +81,7 @@
     Notes
     -----
     Life cycle: `start` opens the sockets and starts the tasks, `drain` refuses new
-    work and waits for what is in flight, `stop` closes all that `start` opened.
+    calls and waits for those in flight, `stop` closes everything `start` opened.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -94,7 +94,7 @@
         self.open_calls = OpenCalls()
         self.known = KnownObjects()
         self._leaving = False
-        self._faulty_task = ""
+        self._failed_task = ""
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
@@ -106,8 +106,8 @@
         self.address = f"{self.settings.address}:{sockets[0].getsockname()[1]}"
         await self._open_peer_socket()
         self._make_clients()
-        self._make_decisions()
-        self._make_flow()
+        self._make_admission()
+        self._make_call_runner()
         await self._start_configuration()
         await self._start_gossip()
         await self._start_orders()
@@ -146,7 +146,7 @@
             self.settings.platform, self.settings.zone, self._platform_client
         )
 
-    def _make_decisions(self) -> None:
+    def _make_admission(self) -> None:
         settings = self.settings
         self.owners = Owners(
             self.members,
@@ -174,14 +174,14 @@
         self._peer_socket.handlers.append(self.owners.take_datagram)
         self._peer_socket.handlers.append(self.limiter.take_datagram)
 
-    def _make_flow(self) -> None:
+    def _make_call_runner(self) -> None:
         self.chats = Chats(self.clock)
         self.claimer = Claimer(
             Claims(self.settings.name, uuid.uuid4().hex[:INCARNATION_DIGITS]),
             self.platform,
             lambda: [member.name for member in self.members.list_live()],
         )
-        self.flow = Flow(
+        self.call_runner = CallRunner(
             self._endpoint_client,
             self.chats,
             self.claimer,
@@ -194,7 +194,11 @@
 
     async def _start_configuration(self) -> None:
         self.configurer = Configurer(
-            self.store, self.platform, self._take_objects, self._pull, self.clock
+            self.store,
+            self.platform,
+            self._apply_objects,
+            self._pull_changes,
+            self.clock,
         )
         await self.configurer.start()
 
@@ -207,7 +211,8 @@
         self.gossiper.subscribe(news.hear)
         self.gossiper.add_source(news.collect)
         self.placer.tell_crash = news.tell_crash
-        # The last of the handlers: it counts what none of them knows as a stranger's.
+        # Must be the last handler: it counts the datagrams that no handler accepted
+        # as those of unknown senders.
         self._peer_socket.handlers.append(self.gossiper.take_datagram)
         await self.gossiper.start()
 
@@ -217,7 +222,7 @@
             Fleet(self.members, self.list_contracts, self.list_endpoints),
             self.platform,
             self._router_client,
-            # A lease lapses while its holder is suspended.
+            # Also counts the time suspended, during which the lease may expire.
             suspension.read_clock,
             LeaseTiming(self.settings.lease_s, self.settings.lease_s / 2),
         )
@@ -232,28 +237,29 @@
             self.clock,
         )
         reader = LoadReader(self._endpoint_client, self.owners, self.placer, self.clock)
-        self._spawn("owners", self.owners.run())
-        self._spawn("vm_list", self._follow_vms())
-        self._spawn("admitter", self.admitter.run())
-        self._spawn("limiter", self.limiter.run())
-        self._spawn("chats", self.chats.run())
-        self._spawn("prober", prober.run())
-        self._spawn("load_reader", reader.run())
-
-    def _spawn(self, name: str, work: Coroutine[Any, Any, None]) -> None:
+        self._start_task("owners", self.owners.run())
+        self._start_task("vm_list", self._poll_vm_list())
+        self._start_task("admitter", self.admitter.run())
+        self._start_task("limiter", self.limiter.run())
+        self._start_task("chats", self.chats.run())
+        self._start_task("prober", prober.run())
+        self._start_task("load_reader", reader.run())
+
+    def _start_task(self, name: str, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work, name=name)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._record_task_failure)
         self._tasks.append(task)
 
-    def _note_end(self, task: asyncio.Task[None]) -> None:
-        # A router that no longer refuses what waits too long, say, is not ready.
+    def _record_task_failure(self, task: asyncio.Task[None]) -> None:
+        # Without one of its tasks a router must not report itself ready: for example,
+        # it would no longer refuse calls that wait too long.
         if log_failure(task):
-            self._faulty_task = task.get_name()
+            self._failed_task = task.get_name()
 
     def _serve_callers(self, sockets: list[socket.socket]) -> None:
         self._server = EndingServer(
             self._make_web_application(),
-            # The handler itself refuses a body that is too long, with a code.
+            # The request handler enforces the limit and answers with an error code.
             max_body_size=UNLIMITED_BYTES,
             max_buffer_size=BUFFER_MAX_BYTES,
             max_header_size=HEADERS_MAX_BYTES,
@@ -263,18 +269,18 @@
         self._server.add_sockets(sockets)
 
     def is_ready(self) -> bool:
-        """Return whether the balancer may send new work here."""
+        """Return whether the load balancer may send new calls to this router."""
         has_contracts = bool(self.known.list_contracts())
-        return has_contracts and not self._leaving and not self._faulty_task
+        return has_contracts and not self._leaving and not self._failed_task
 
     async def drain(self, told_s: float | None = None) -> None:
-        """Refuse new work; return when nothing is in flight, or after the limit.
+        """Refuse new calls; return when none is in flight, or after the drain limit.
 
         Parameters
         ----------
         told_s : float, optional
-            When the router was told to stop, from which the limit counts; now by
-            default.
+            When the router was told to stop, which the limit counts from; defaults
+            to now.
         """
         waited_s = 0.0 if told_s is None else self.clock() - told_s
         self._leaving = True
@@ -286,13 +292,13 @@
         )
         try:
             async with asyncio.timeout(self.settings.drain_max_s - waited_s):
-                await self.flow.drain()
-                await self.open_calls.wait_none()
+                await self.call_runner.drain()
+                await self.open_calls.wait_until_zero()
         except TimeoutError:
             return
 
     async def stop(self) -> None:
-        """Close all that `start` opened."""
+        """Close everything that `start` opened."""
         await self._server.finish()
         await self._server.close_all_connections()
         for task in self._tasks:
@@ -307,7 +313,9 @@
         close_client(self._router_client)
         close_client(self._platform_client)
         log_event(
-            ROUTER_STOPPED, router=self.settings.name, in_flight=self.flow.running
+            ROUTER_STOPPED,
+            router=self.settings.name,
+            in_flight=self.call_runner.running,
         )
 
     def list_contracts(self) -> list[Contract]:
@@ -315,17 +323,17 @@
         return self.known.list_contracts()
 
     def list_endpoints(self) -> list[Endpoint]:
-        """Return the endpoints known now."""
+        """Return the endpoints that are known now."""
         return self.known.list_endpoints()
 
     def describe(self) -> dict[str, Any]:
-        """Return the status of this router, for queries."""
+        """Return the status of this router, for `/v1/status`."""
         return {
             "router": self.settings.name,
             "zone": self.settings.zone,
             "revision": self.store.revision,
-            # What `contract apply` waits for: the highest version of any kind would
-            # also rise with an endpoint, before the contract has arrived.
+            # By kind, because `contract apply` waits for contracts: the highest version
+            # of all kinds also rises with an endpoint, before the contract arrives.
             "complete": {kind: self.store.get_complete(kind) for kind in KINDS},
             "faulty": [faulty._asdict() for faulty in self.known.list_faulty()],
             "state": "leaving" if self._leaving else "alive",
@@ -338,7 +346,7 @@
         }
 
     def describe_vm(self) -> dict[str, str]:
-        """Return this router's line of the VM list."""
+        """Return this router's entry for the VM list."""
         return {
             "name": self.settings.name,
             "address": self.address,
@@ -346,10 +354,10 @@
             "peer_address": self.peer_address,
         }
 
-    def explain(self, question: Question) -> dict[str, Any]:
-        """Return where a call would go, for queries."""
+    def explain(self, query: ExplainQuery) -> dict[str, Any]:
+        """Return where a call would be routed, for `/v1/explain`."""
         found = explain(
-            question,
+            query,
             self.list_contracts(),
             self.members.list_live(),
             self.placer,
@@ -360,7 +368,8 @@
     def _make_gossiper(self) -> Gossiper:
         own = MemberRecord(
             self.settings.name,
-            # Above that of any earlier process of this name, as nothing is kept.
+            # The incarnation is not stored, so it must exceed that of any earlier
+            # process of the same name.
             int(time.time() * 1000),
             MemberState.ALIVE,
             self.settings.zone,
@@ -377,21 +386,23 @@
             self.settings.peers,
         )
 
-    def _pull(self, address: str, kind: str, since: int) -> Awaitable[ChangeSet]:
+    def _pull_changes(
+        self, address: str, kind: str, since: int
+    ) -> Awaitable[ChangeSet]:
         keys = self.settings.peer_keys
         return pull_changes(self._router_client, address, kind, since, keys)
 
     def _make_web_application(self) -> Application:
-        application = make_front(self._make_front())
+        application = make_front_application(self._make_front_context())
         handlers = list_handlers(
             self.store, self.settings.peer_keys, self.metrics.count
         )
         application.add_handlers(".*", handlers)
         return application
 
-    def _make_front(self) -> Front:
-        return Front(
-            self.flow,
+    def _make_front_context(self) -> FrontContext:
+        return FrontContext(
+            self.call_runner,
             self.members,
             self._router_client,
             self.metrics,
@@ -406,7 +417,7 @@
             self.clock,
         )
 
-    def _take_objects(self, taken: list[ObjectVersion]) -> None:
+    def _apply_objects(self, taken: list[ObjectVersion]) -> None:
         for item in taken:
             self.known.take(item)
         self.placer.take_endpoints(self.clock())
@@ -417,7 +428,7 @@
         for pool in endpoint.serves:
             self.admitter.wake(pool)
 
-    async def _follow_vms(self) -> None:
+    async def _poll_vm_list(self) -> None:
         while True:
             try:
                 vms = await self.platform.list_vms()
--- a/src/tamarackrill/router/attempts.py
+++ b/src/tamarackrill/router/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a call at one endpoint: send it, check it, write the reply."""
+"""One attempt of a call: sends it to an endpoint and writes the answer to a reply."""
 
 from collections.abc import Callable
 from typing import Literal, NamedTuple
@@ -16,35 +16,36 @@
 
 Outcome = Literal["answered", "overloaded", "refused", "not_sent", "cut", "cancelled"]
 
-EVENT_END = b"\n\n"
-CLOSING_EVENT = b"data: [DONE]"
-# An event or a whole answer longer than this is passed on in pieces.
+EVENT_TERMINATOR = b"\n\n"
+DONE_EVENT = b"data: [DONE]"
+# Longest event of a stream; a longer answer that is not a stream is no longer buffered
+# until it is complete.
 PIECE_MAX_BYTES = 1024 * 1024
 SERVER_ERROR = 500
 OVERLOADED = 503
 CANCEL_PATH = "/v1/cancel/"
 CANCEL_TIMEOUT_S = 1.0
 
-# Headers of the endpoint's connection to us; the caller's has its own.
-_NOT_PASSED_BACK = frozenset(
+# Headers that apply only to the connection between router and endpoint.
+_DROPPED_RESPONSE_HEADERS = frozenset(
     ("Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Server")
 )
 
 
 class Attempt(NamedTuple):
-    """How one attempt went.
+    """Result of one attempt.
 
     Parameters
     ----------
     outcome : {"answered", "overloaded", "refused", "not_sent", "cut", "cancelled"}
         ``"not_sent"`` only if no byte can have reached the endpoint; ``"overloaded"``
-        if the answer was passed on and says that the endpoint has too much to do.
+        if the endpoint answered that it is overloaded, and the answer was passed on.
     first_byte_s : float or None
         Time from sending to the first byte of the answer.
     chunks : int
         Chunks written to the reply.
     reason : str
-        What went wrong, if something did.
+        Why the attempt failed, or empty.
     """
 
     outcome: Outcome
@@ -53,57 +54,57 @@
     reason: str = ""
 
 
-class _EventOutlet(Outlet):
-    """Hands whole server-sent events on to a reply, however the bytes come in."""
+class _EventStreamOutlet(Outlet):
+    """Splits the received bytes into server-sent events and passes these to a reply."""
 
     def __init__(self, reply: Reply) -> None:
         super().__init__()
-        self.is_closed = False
-        self._rest = b""
+        self.is_complete = False
+        self._partial_event = b""
         self._reply = reply
         reply.on_room = lambda: self.on_room()
 
     def take(self, piece: bytes) -> bool:
-        """Take bytes of the stream."""
-        rest = self._rest + piece.replace(b"\r\n", b"\n")
-        *events, self._rest = rest.split(EVENT_END)
-        if len(self._rest) > PIECE_MAX_BYTES:
+        """Pass on the events that are complete; keep the rest for the next piece."""
+        rest = self._partial_event + piece.replace(b"\r\n", b"\n")
+        *events, self._partial_event = rest.split(EVENT_TERMINATOR)
+        if len(self._partial_event) > PIECE_MAX_BYTES:
             raise UpstreamFailed("an event of the stream is too long", sent=True)
         if not events:
             return True
-        self.is_closed = events[-1].startswith(CLOSING_EVENT)
-        return self._reply.extend([event + EVENT_END for event in events])
+        self.is_complete = events[-1].startswith(DONE_EVENT)
+        return self._reply.extend([event + EVENT_TERMINATOR for event in events])
 
 
-class _WholeOutlet(Outlet):
-    """Holds an answer until it is whole; hands a long one on in large pieces.
+class _BufferingOutlet(Outlet):
+    """Buffers an answer until it is complete; passes a long one on in large pieces.
 
-    Nothing of a short answer is written before it is known to be whole: one that was
-    cut can then be asked for again, and the caller sees one answer.
+    No byte of a short answer is written before all of it has arrived, so that the call
+    can be retried if the connection is lost, without the caller noticing.
     """
 
     def __init__(self, reply: Reply, head: Head) -> None:
         super().__init__()
-        self._held: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._size_bytes = 0
         self._reply = reply
         self._head = head
         reply.on_room = lambda: self.on_room()
 
     def take(self, piece: bytes) -> bool:
-        """Take bytes of the answer."""
-        self._held.append(piece)
+        """Buffer bytes of the answer; write them once there are too many."""
+        self._buffered.append(piece)
         self._size_bytes += len(piece)
         return self._size_bytes <= PIECE_MAX_BYTES or self.write()
 
     def write(self) -> bool:
-        """Write what is held to the reply; return whether it has room."""
+        """Write the buffered bytes to the reply; return whether it can take more."""
         if not self._reply.started:
             self._reply.start(self._head)
-        held = b"".join(self._held)
-        self._held.clear()
+        buffered = b"".join(self._buffered)
+        self._buffered.clear()
         self._size_bytes = 0
-        return self._reply.take(held) if held else True
+        return self._reply.take(buffered) if buffered else True
 
 
 async def attempt_call(
@@ -111,8 +112,8 @@
     call: Call,
     endpoint: Endpoint,
     reply: Reply,
-    have_chunks: int,
-    take_errors: bool,
+    received_chunks: int,
+    accept_errors: bool,
     clock: Callable[[], float],
 ) -> Attempt:
     """Send a call to an endpoint and write its answer to the reply.
@@ -124,17 +125,17 @@
     call : Call
         The call.
     endpoint : Endpoint
-        Where it goes.
+        The endpoint that the call is sent to.
     reply : Reply
-        Gets the head once and the chunks.
-    have_chunks : int
-        Chunks that the reply has already from an attempt that was cut; the
-        endpoint is asked to resume after them.
-    take_errors : bool
-        Whether an answer with a status of 500 or above is the answer; otherwise
-        the outcome is ``"refused"`` and nothing is written.
+        Receives the head, once, and the chunks.
+    received_chunks : int
+        Number of chunks that the reply has from an attempt whose connection was
+        lost; the endpoint is asked to resume after them.
+    accept_errors : bool
+        Whether to pass on an answer with a status of 500 or above; otherwise the
+        outcome is ``"refused"`` and nothing is written.  503 is always passed on.
     clock : callable
-        Returns the present time.
+        Returns the current time.
 
     Returns
     -------
@@ -145,42 +146,42 @@
         client,
         call.method,
         f"http://{endpoint.address}{call.path}",
-        _build_headers(call, have_chunks),
+        _build_headers(call, received_chunks),
         call.body,
         max(0.001, call.deadline_s - sent_s),
-        # Not even one that may run twice goes out on a kept connection: that of an
-        # engine which is just ending would take it down too, as lost and as suspected
-        # of the crash.  A new one is refused by then, and costs a millisecond else.
+        # Use a new connection even for idempotent calls.  On a kept-alive connection
+        # to an engine that is exiting, the call would be lost and suspected of having
+        # crashed it.  A new connection is refused by then; otherwise it costs 1 ms.
         repeatable=False,
     )
-    reply.when_abandoned(exchange.cancel)
+    reply.set_abandoned_callback(exchange.cancel)
     first_byte_s: float | None = None
-    before = reply.count
+    chunks_before = reply.count
     try:
         head = await exchange.head()
         first_byte_s = clock() - sent_s
         is_overloaded = head.status == OVERLOADED
-        if head.status >= SERVER_ERROR and not is_overloaded and not take_errors:
+        if head.status >= SERVER_ERROR and not is_overloaded and not accept_errors:
             return Attempt("refused", first_byte_s, 0, f"status {head.status}")
         is_stream = call.stream and _is_event_stream(head)
-        pump = _pump_events if is_stream else _pump_whole
+        pump = _pump_events if is_stream else _pump_buffered
         await pump(exchange, _strip_head(head), reply)
     except UpstreamFailed as error:
-        outcome = _find_outcome(error, reply)
+        outcome = _classify_failure(error, reply)
         if outcome == "cancelled" and call.kind == "engine":
             await _cancel_at_engine(client, call, endpoint)
-        return Attempt(outcome, first_byte_s, reply.count - before, error.reason)
+        return Attempt(outcome, first_byte_s, reply.count - chunks_before, error.reason)
     finally:
         await exchange.close()
     outcome = "overloaded" if is_overloaded else "answered"
-    return Attempt(outcome, first_byte_s, reply.count - before)
+    return Attempt(outcome, first_byte_s, reply.count - chunks_before)
 
 
 async def _cancel_at_engine(
     client: CurlAsyncHTTPClient, call: Call, endpoint: Endpoint
 ) -> None:
-    # An engine keeps a stream for a while after its connection closed, so that it
-    # can be resumed.  Unless it is told, it goes on generating for nobody.
+    # An engine keeps a stream running for a while after its connection closed, so that
+    # it can be resumed.  Without this request it would go on generating in vain.
     url = f"http://{endpoint.address}{CANCEL_PATH}{call.request_id}"
     exchange = Exchange(client, "POST", url, {}, b"", CANCEL_TIMEOUT_S, True)
     try:
@@ -191,21 +192,21 @@
         await exchange.close()
 
 
-def _find_outcome(error: UpstreamFailed, reply: Reply) -> Outcome:
+def _classify_failure(error: UpstreamFailed, reply: Reply) -> Outcome:
     if not error.sent:
         return "not_sent"
     return "cancelled" if reply.abandoned.is_set() else "cut"
 
 
-def _build_headers(call: Call, have_chunks: int) -> dict[str, str]:
+def _build_headers(call: Call, received_chunks: int) -> dict[str, str]:
     headers = {**call.headers, "Request-Id": call.request_id}
-    if have_chunks:
-        headers["Last-Event-ID"] = str(have_chunks)
+    if received_chunks:
+        headers["Last-Event-ID"] = str(received_chunks)
     return headers
 
 
 def _strip_head(head: Head) -> Head:
-    kept = {k: v for k, v in head.headers.items() if k not in _NOT_PASSED_BACK}
+    kept = {k: v for k, v in head.headers.items() if k not in _DROPPED_RESPONSE_HEADERS}
     return Head(head.status, kept)
 
 
@@ -216,16 +217,16 @@
 async def _pump_events(exchange: Exchange, head: Head, reply: Reply) -> None:
     if not reply.started:
         reply.start(head)
-    outlet = _EventOutlet(reply)
+    outlet = _EventStreamOutlet(reply)
     await exchange.pump(outlet)
-    # A stream can end without its closing event though the connection closed in
-    # good order, as when an engine is stopped.  The caller would take half an
-    # answer for a whole one.
-    if not outlet.is_closed:
-        raise UpstreamFailed("the stream ended without its closing event", sent=True)
+    # A stream can end without its final event though the connection was closed
+    # cleanly, for example when an engine is stopped.  Without this check the caller
+    # would take a partial answer for a complete one.
+    if not outlet.is_complete:
+        raise UpstreamFailed("the stream ended without its final event", sent=True)
 
 
-async def _pump_whole(exchange: Exchange, head: Head, reply: Reply) -> None:
-    outlet = _WholeOutlet(reply, head)
+async def _pump_buffered(exchange: Exchange, head: Head, reply: Reply) -> None:
+    outlet = _BufferingOutlet(reply, head)
     await exchange.pump(outlet)
     outlet.write()
--- a/src/tamarackrill/router/callers.py
+++ b/src/tamarackrill/router/callers.py
@@ -1,4 +1,4 @@
-"""Handler of the callers' calls, at the entry router and at the home."""
+"""HTTP handler of the callers' calls, at the entry router and at the home router."""
 
 from tornado.iostream import StreamClosedError
 from tornado.web import stream_request_body
@@ -14,7 +14,12 @@
     find_forwarded_id,
     forward_call,
 )
-from tamarackrill.router.front import LEAVING, LEAVING_CODE, Front, Handler
+from tamarackrill.router.front import (
+    LEAVING_CODE,
+    LEAVING_HEADER,
+    FrontContext,
+    FrontHandler,
+)
 from tamarackrill.router.members import Member
 from tamarackrill.router.outlets import Outlet
 from tamarackrill.router.replies import Reply
@@ -24,42 +29,47 @@
     UpstreamFailed,
 )
 
-# Homes that are tried before the entry router runs a call by itself.
-HOMES_TRIED = 2
-# A shorter answer is sent with its length; a longer one goes on in pieces.
-HELD_MAX_BYTES = 1024 * 1024
-NOT_PASSED_BACK = ("Connection", "Transfer-Encoding", "Content-Length", "Server")
+# Home routers that are tried before the entry router runs a call itself.
+HOMES_MAX = 2
+# Answers up to this size are sent at once, with their length; longer ones in pieces.
+BUFFERED_MAX_BYTES = 1024 * 1024
+DROPPED_RESPONSE_HEADERS = (
+    "Connection",
+    "Transfer-Encoding",
+    "Content-Length",
+    "Server",
+)
 
 
 class _CallerOutlet(Outlet):
-    """Writes pieces to the caller; has no room while the caller's socket is full."""
+    """Writes an answer to the caller; applies backpressure while its socket is full."""
 
     def __init__(self, handler: "CallHandler", stream: bool) -> None:
         super().__init__()
         self._handler = handler
         self._stream = stream
-        self._held: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._size_bytes = 0
         self._last_s: float | None = None
 
     def take(self, piece: bytes) -> bool:
-        """Write a piece of a stream at once, of another answer once it is long."""
+        """Write a piece of a stream at once; buffer other answers up to the limit."""
         if self._stream:
             self._record_gap()
             return self._write(piece)
-        self._held.append(piece)
+        self._buffered.append(piece)
         self._size_bytes += len(piece)
-        return self._size_bytes <= HELD_MAX_BYTES or self._write_held()
+        return self._size_bytes <= BUFFERED_MAX_BYTES or self._write_buffered()
 
     def finish(self) -> None:
-        """Write what is held and end the answer."""
-        self._handler.finish(b"".join(self._held) or None)
+        """Write what is buffered and end the answer."""
+        self._handler.finish(b"".join(self._buffered) or None)
 
-    def _write_held(self) -> bool:
-        held = b"".join(self._held)
-        self._held.clear()
+    def _write_buffered(self) -> bool:
+        data = b"".join(self._buffered)
+        self._buffered.clear()
         self._size_bytes = 0
-        return self._write(held)
+        return self._write(data)
 
     def _write(self, piece: bytes) -> bool:
         handler = self._handler
@@ -80,29 +90,29 @@
 
 
 @stream_request_body
-class CallHandler(Handler):
-    """Takes a call, finds its home and passes the answer back.
+class CallHandler(FrontHandler):
+    """Runs a call at its home router or forwards it there, and returns the answer.
 
-    The key is checked before the body is read, so that a stranger can't make the
-    router hold a body for it.
+    The API key is checked before the body is read, so that an unauthenticated client
+    can't make the router buffer a body.
     """
 
-    def initialize(self, front: Front) -> None:
-        """Start with nothing read."""
+    def initialize(self, front: FrontContext) -> None:
+        """Set the state of a new request."""
         super().initialize(front)
         self._exchange: Exchange | None = None
         self._reply: Reply | None = None
         self._body = bytearray()
         self._contract: Contract | None = None
         self._counted = False
-        self._is_gone = False
+        self._is_disconnected = False
         self._may_have_run = MAY_HAVE_RUN in self.request.headers
 
     def send_refusal(self, refusal: Refusal) -> None:
-        """Answer with a refusal that is also true of the routers tried before."""
-        # A home that was given up may have sent the call on before it was lost or
-        # frozen.  What the next router says of it is true of its own doing only: told
-        # "not run", a client would book again under another key.
+        """Answer with a refusal that also accounts for the routers tried before."""
+        # A home router that failed may have sent the call to an endpoint before.  The
+        # next router's "not run" covers only that router: a client that relied on it
+        # would repeat a booking under another key, and book twice.
         if self._may_have_run and refusal.run == "not_run":
             refusal = Refusal(
                 refusal.code,
@@ -114,22 +124,24 @@
         super().send_refusal(refusal)
 
     def prepare(self) -> None:
-        """Check the key and the announced size before the body comes."""
+        """Check the API key and the Content-Length before the body arrives."""
         front = self.front
         front.metrics.count("requests", self.request.method or "")
-        front.open_calls.enter()
+        front.open_calls.increment()
         self._counted = True
         try:
             self._check_size(int(self.request.headers.get("Content-Length", "0")))
             authorization = self.request.headers.get("Authorization", "")
-            self._contract = authenticate(front.find_holder, authorization)
+            self._contract = authenticate(
+                front.find_contract_by_key_hash, authorization
+            )
             if front.is_leaving():
-                raise Refusal(LEAVING_CODE, 503, "this router is leaving")
+                raise Refusal(LEAVING_CODE, 503, "this router is shutting down")
         except Refusal as refusal:
             self.send_refusal(refusal)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a piece of the body; refuse a body that is too long."""
         self._body += chunk
         try:
             self._check_size(len(self._body))
@@ -145,7 +157,7 @@
             raise Refusal("body_too_long", 413, message)
 
     async def get(self) -> None:
-        """Answer the call; the method does not matter here."""
+        """Answer the call, whatever its method."""
         try:
             await self._answer()
         except Refusal as refusal:
@@ -156,10 +168,10 @@
     post = put = patch = delete = get
 
     def on_finish(self) -> None:
-        """Count the call as over."""
+        """Remove the call from the count of open calls."""
         if self._counted:
             self._counted = False
-            self.front.open_calls.leave()
+            self.front.open_calls.decrement()
 
     async def _answer(self) -> None:
         front = self.front
@@ -190,11 +202,11 @@
         if not call.home_key:
             return []
         live = {member.name: member for member in self.front.members.list_live()}
-        names = rendezvous_order(call.home_key, list(live), HOMES_TRIED)
+        names = rendezvous_order(call.home_key, list(live), HOMES_MAX)
         return [live[name] for name in names]
 
     async def _forward(self, call: Call) -> bool:
-        """Return whether another router has answered the call."""
+        """Try the other home routers; return whether the call is done with."""
         for home in self._list_homes(call):
             if home.name == self.front.members.own.name:
                 return False
@@ -202,16 +214,16 @@
                 await self._forward_to(call, home)
                 return True
             except UpstreamFailed as error:
-                if self._is_gone:
+                if self._is_disconnected:
                     return True
                 self._may_have_run = self._may_have_run or error.sent
-                # The home is gone.  Its memory of the chat is gone with it; the
-                # next in order serves.  A call that may run only once is safe:
-                # its claim is on the platform, not in the home's memory.
+                # The state of the chat is lost with its home router, and the next
+                # router in order takes over.  A non-idempotent call still runs at
+                # most once, as its claim is stored on the platform.
                 if self._headers_written:
                     message = "the home router was lost during the answer"
                     refusal = Refusal("router_lost", 502, message, "unknown")
-                    self.cut(refusal)
+                    self.abort(refusal)
                     return True
         return False
 
@@ -231,9 +243,9 @@
         self._exchange = exchange
         try:
             head = await exchange.head()
-            if LEAVING in head.headers:
-                raise UpstreamFailed("the home router is leaving", sent=False)
-            self.begin(head)
+            if LEAVING_HEADER in head.headers:
+                raise UpstreamFailed("the home router is shutting down", sent=False)
+            self.start_answer(head)
             outlet = _CallerOutlet(self, call.stream)
             await exchange.pump(outlet)
             outlet.finish()
@@ -241,24 +253,24 @@
             await exchange.close()
 
     async def _serve(self, call: Call) -> None:
-        reply = self.front.flow.open(call)
+        reply = self.front.call_runner.open(call)
         self._reply = reply
         reply.readers += 1
         try:
             head = await reply.head()
-            self.begin(head)
+            self.start_answer(head)
             outlet = _CallerOutlet(self, call.stream)
             await reply.pump(outlet, call.last_event_id)
             outlet.finish()
         except HeldElsewhere as held:
-            await self._ask_holder(call, held)
+            await self._forward_to_claim_holder(call, held)
         finally:
-            self._leave()
+            self._detach_reply()
 
-    async def _ask_holder(self, call: Call, held: HeldElsewhere) -> None:
-        # Routers that disagree for some seconds send a resend to another home.  The
-        # router that holds the claim has the run or the answer; the caller would
-        # otherwise hear "unknown" of a booking that went well.
+    async def _forward_to_claim_holder(self, call: Call, held: HeldElsewhere) -> None:
+        # While the routers' member lists differ, for some seconds, a resend can go to
+        # another home router.  The router that holds the claim has the run or the
+        # answer; otherwise the caller would get "unknown" for a booking that succeeded.
         live = {member.name: member for member in self.front.members.list_live()}
         if held.router not in live:
             raise held
@@ -267,22 +279,22 @@
         except UpstreamFailed:
             raise held from None
 
-    def begin(self, head: Head) -> None:
-        """Set status and headers of the answer."""
+    def start_answer(self, head: Head) -> None:
+        """Set the status and headers of the answer."""
         self.set_status(head.status)
         for name, value in head.headers.items():
-            if name not in NOT_PASSED_BACK:
+            if name not in DROPPED_RESPONSE_HEADERS:
                 self.set_header(name, value)
 
-    def _leave(self) -> None:
+    def _detach_reply(self) -> None:
         reply, self._reply = self._reply, None
         if reply is not None:
-            reply.leave()
+            reply.remove_reader()
 
     def on_connection_close(self) -> None:
-        """Let the run and the home know that the caller is gone."""
-        self._is_gone = True
+        """Cancel the run or the forwarded call, as the caller has disconnected."""
+        self._is_disconnected = True
         self.on_finish()
-        self._leave()
+        self._detach_reply()
         if self._exchange is not None:
             self._exchange.cancel()
--- a/src/tamarackrill/router/calls.py
+++ b/src/tamarackrill/router/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request, read and checked, as the tasks of the router pass it on."""
+"""Parses and validates a caller's request, and authenticates the caller."""
 
 import hashlib
 import hmac
@@ -14,12 +14,13 @@
 CHAT_PATH = "/v1/chat/completions"
 SERVICES_PATH = "/services/"
 HEADER_VALUE_MAX = 256
-TOKENS_DEFAULT = 256
+MAX_TOKENS_DEFAULT = 256
 SERVICE_CALL_TOKENS = 1
 PRIORITY_MAX = 9
 
-# Headers of the connection, of the caller's own credentials, and of ours.
-_NOT_PASSED_ON = frozenset(
+# Headers that are not forwarded to the endpoint: those of the connection, the caller's
+# credentials, and those that the router itself handles.
+_DROPPED_REQUEST_HEADERS = frozenset(
     [
         "Host",
         "Connection",
@@ -46,28 +47,29 @@
 
 
 class Call(NamedTuple):
-    """One request of a team.
+    """One validated request of a team.
 
     Parameters
     ----------
     request_id : str
-        Unique identity, the same at the entry router, home and endpoint.
+        Unique identifier, the same at the entry router, the home router and the
+        endpoint.
     contract : Contract
-        Contract of the team, as it was in force when the request came.
+        Contract of the team, as in force when the request arrived.
     kind : {"engine", "service"}
-        Which kind of endpoint it needs.
+        Kind of endpoint that the call needs.
     pool : str
         Model or service.
     method, path : str
-        As the endpoint gets them; the path includes the query.
+        As sent to the endpoint; the path includes the query.
     headers : dict of str to str
-        As the endpoint gets them.
+        As sent to the endpoint.
     body : bytes
-        As the endpoint gets it.
+        As sent to the endpoint.
     chat : str
         Name of the chat within the team, or empty.
     sequence : int or None
-        Place in the chat, or None if the caller asks for no order.
+        Position in the chat, or None if the caller does not ask for ordering.
     key : str
         Idempotency key, or empty.
     idempotent : bool
@@ -75,15 +77,15 @@
     stream : bool
         Whether the answer is a stream of server-sent events.
     last_event_id : int
-        The caller has the events up to this one.
+        Number of the last event that the caller has received, or 0.
     deadline_s : float
-        Latest time of the answer, on the clock of this router.
+        Latest time for the answer, on the clock of this router.
     size_tokens : int
-        Expected cost.
+        Expected cost in tokens.
     priority : int
-        Higher goes first among the requests of the same team.
+        Requests of the same team with a higher priority go first.
     fingerprint : str
-        Hash of all that the endpoint would get.
+        Hash of team, pool, method, path and body.
     """
 
     request_id: str
@@ -112,38 +114,38 @@
 
     @property
     def home_key(self) -> str:
-        """What decides the home router; empty if any router will do."""
+        """Key that selects the home router; empty if any router can run the call."""
         if not self.idempotent and self.sequence is None:
-            # Claims of one bucket that come to one router go in one write.  Spread
-            # over the routers they would conflict and cost more than one each.
+            # One router batches its claims of a bucket into one write.  Made by several
+            # routers they would conflict and take more than one write each.
             return f"claims\n{find_bucket(hash_claim_key(self.team, self.key))}"
         name = self.chat or self.key
         return f"{self.team}\n{name}" if name else ""
 
 
 def authenticate(
-    find_holder: Callable[[str], Contract | None], authorization: str
+    find_contract_by_key_hash: Callable[[str], Contract | None], authorization: str
 ) -> Contract:
-    """Return the contract whose key the caller holds.
+    """Return the contract that the caller's API key belongs to.
 
     Parameters
     ----------
-    find_holder : callable
-        Returns the contract that holds a key, by the key's hash.
+    find_contract_by_key_hash : callable
+        Returns the contract that a key belongs to, by the key's hash.
     authorization : str
-        Header of the request.
+        Value of the request's Authorization header.
 
     Raises
     ------
     Refusal
-        ``unauthorized`` if no contract has it.
+        ``unauthorized`` if the key is absent or belongs to no contract.
     """
     scheme, _, key = authorization.partition(" ")
     if scheme.lower() == "bearer" and key:
-        # Only the hash is looked up and compared.  How long that takes tells a caller
-        # something about a hash that it can't steer, and nothing about any key.
+        # Only the hash is looked up and compared.  The time this takes can reveal
+        # something about a hash, which a caller can't control, but nothing about a key.
         digest = hash_key(key.strip())
-        found = find_holder(digest)
+        found = find_contract_by_key_hash(digest)
         if found and any(hmac.compare_digest(h, digest) for h in found.key_hashes):
             return found
     raise Refusal("unauthorized", 401, "the key is absent or not known")
@@ -157,7 +159,7 @@
     body: bytes,
     now_s: float,
 ) -> Call:
-    """Return the call that a request describes.
+    """Parse and validate a request.
 
     Parameters
     ----------
@@ -170,7 +172,7 @@
     body : bytes
         Of the request.
     now_s : float
-        Present time on the clock of this router.
+        Current time on the clock of this router.
 
     Returns
     -------
@@ -183,30 +185,32 @@
     """
     kind: EndpointKind
     if path.partition("?")[0] == CHAT_PATH:
-        kind, onward_path = "engine", CHAT_PATH
+        kind, endpoint_path = "engine", CHAT_PATH
         pool, fields = _read_chat(contract, method, body)
-        size_tokens = _read_size(fields)
+        size_tokens = _read_max_tokens(fields)
     else:
         kind, fields = "service", {}
         pool = _read_service(contract, path)
-        onward_path = path[len(SERVICES_PATH) + len(pool) :] or "/"
+        endpoint_path = path[len(SERVICES_PATH) + len(pool) :] or "/"
         size_tokens = SERVICE_CALL_TOKENS
     idempotent = kind == "engine" or not _is_non_idempotent(
-        contract, pool, method, onward_path
+        contract, pool, method, endpoint_path
     )
     key = _read_name(headers, "Idempotency-Key")
     if not idempotent and not key:
         message = "this call runs at most once and needs an Idempotency-Key"
         raise Refusal("key_required", 400, message)
-    passed = {k: v for k, v in headers.items() if k.title() not in _NOT_PASSED_ON}
+    forwarded_headers = {
+        k: v for k, v in headers.items() if k.title() not in _DROPPED_REQUEST_HEADERS
+    }
     return Call(
         request_id=uuid.uuid4().hex,
         contract=contract,
         kind=kind,
         pool=pool,
         method=method,
-        path=onward_path,
-        headers=passed,
+        path=endpoint_path,
+        headers=forwarded_headers,
         body=body,
         chat=_read_name(headers, "Chat-Id"),
         sequence=_read_integer(headers, "Chat-Sequence", 1, 1 << 53),
@@ -217,7 +221,7 @@
         deadline_s=now_s + _read_timeout(contract, headers),
         size_tokens=size_tokens,
         priority=_read_priority(contract, headers),
-        fingerprint=_fingerprint(contract.team, pool, method, onward_path, body),
+        fingerprint=_hash_request(contract.team, pool, method, endpoint_path, body),
     )
 
 
@@ -246,8 +250,8 @@
     return all(isinstance(item, dict) and "content" in item for item in messages)
 
 
-def _read_size(fields: dict[str, Any]) -> int:
-    size = fields.get("max_tokens", TOKENS_DEFAULT)
+def _read_max_tokens(fields: dict[str, Any]) -> int:
+    size = fields.get("max_tokens", MAX_TOKENS_DEFAULT)
     if not isinstance(size, int) or isinstance(size, bool) or size < 1:
         raise Refusal("malformed_body", 400, "max_tokens must be a whole number from 1")
     return size
@@ -280,29 +284,32 @@
 
 
 def _read_integer(
-    headers: Mapping[str, str], name: str, least: int, most: int
+    headers: Mapping[str, str], name: str, minimum: int, maximum: int
 ) -> int | None:
     text = headers.get(name)
     if text is None:
         return None
-    if not (text.isascii() and text.isdigit()) or not least <= int(text[:20]) <= most:
-        message = f"{name} must be a whole number from {least}"
+    if (
+        not (text.isascii() and text.isdigit())
+        or not minimum <= int(text[:20]) <= maximum
+    ):
+        message = f"{name} must be a whole number from {minimum}"
         raise Refusal("malformed_header", 400, message)
     return int(text)
 
 
 def _read_timeout(contract: Contract, headers: Mapping[str, str]) -> float:
-    asked_ms = _read_integer(headers, "Request-Timeout-Ms", 1, 86_400_000)
-    if asked_ms is None:
+    requested_ms = _read_integer(headers, "Request-Timeout-Ms", 1, 86_400_000)
+    if requested_ms is None:
         return contract.deadline_s
-    return min(asked_ms / 1000, contract.deadline_max_s)
+    return min(requested_ms / 1000, contract.deadline_max_s)
 
 
 def _read_priority(contract: Contract, headers: Mapping[str, str]) -> int:
-    asked = _read_integer(headers, "Request-Priority", 0, PRIORITY_MAX)
-    return contract.priority if asked is None else asked
+    requested = _read_integer(headers, "Request-Priority", 0, PRIORITY_MAX)
+    return contract.priority if requested is None else requested
 
 
-def _fingerprint(team: str, pool: str, method: str, path: str, body: bytes) -> str:
+def _hash_request(team: str, pool: str, method: str, path: str, body: bytes) -> str:
     head = f"{team}\n{pool}\n{method}\n{path}\n".encode()
     return hashlib.blake2b(head + body, digest_size=16).hexdigest()
--- a/src/tamarackrill/router/explaining.py
+++ b/src/tamarackrill/router/explaining.py
@@ -1,4 +1,4 @@
-"""Tells where a call would go now, and why, without sending it."""
+"""Explains where a call would be routed now, and why, without sending it."""
 
 from typing import Any, NamedTuple
 
@@ -11,19 +11,19 @@
 
 HOMES_SHOWN = 3
 REQUEST_ID = "explain"
-# Fingerprint of no request, so that no crash is counted against this one.
+# No request has this fingerprint, so no crash is attributed to an explained call.
 NO_FINGERPRINT = "0" * 32
 
 
-class Question(NamedTuple):
-    """What an operator asks about.
+class ExplainQuery(NamedTuple):
+    """Call that an operator asks about.
 
     Parameters
     ----------
     team, chat : str
         Name of the team; name of the chat, or empty.
     model, service : str
-        What the call asks for; one of them is empty.
+        What the call requests; one of them is empty.
     """
 
     team: str
@@ -43,26 +43,26 @@
 
 
 def explain(
-    question: Question,
+    query: ExplainQuery,
     contracts: list[Contract],
     members: list[Member],
     placer: Placer,
     now_s: float,
 ) -> dict[str, Any]:
-    """Return where a call would go now, as this router sees things.
+    """Return where a call would be routed now, by what this router knows.
 
     Parameters
     ----------
-    question : Question
-        What is asked about.
+    query : ExplainQuery
+        Call to explain.
     contracts : list of Contract
         Contracts in force.
     members : list of Member
         Live routers.
     placer : Placer
-        Places calls at this router; nothing is counted there.
+        Chooses endpoints at this router; the explained call is not counted.
     now_s : float
-        Present time.
+        Current time.
 
     Returns
     -------
@@ -75,8 +75,8 @@
     Refusal
         If the team has no contract, or its contract does not allow the call.
     """
-    contract = _find_contract(question, contracts)
-    call = _make_call(question, contract, now_s)
+    contract = _find_contract(query, contracts)
+    call = _make_call(query, contract, now_s)
     placed = placer.choose(call, (), now_s)
     candidates = placer.list_candidates(call)
     names = [endpoint.name for endpoint in candidates]
@@ -102,20 +102,20 @@
     }
 
 
-def _find_contract(question: Question, contracts: list[Contract]) -> Contract:
+def _find_contract(query: ExplainQuery, contracts: list[Contract]) -> Contract:
     for contract in contracts:
-        if contract.team == question.team:
+        if contract.team == query.team:
             break
     else:
-        raise Refusal("unknown_team", 404, f"no contract for {question.team!r}")
-    if question.pool not in contract.models + contract.services:
-        message = f"the contract does not allow {question.pool!r}"
-        raise Refusal(f"unknown_{_name_pool(question)}", 404, message)
+        raise Refusal("unknown_team", 404, f"no contract for {query.team!r}")
+    if query.pool not in contract.models + contract.services:
+        message = f"the contract does not allow {query.pool!r}"
+        raise Refusal(f"unknown_{_name_pool_type(query)}", 404, message)
     return contract
 
 
-def _name_pool(question: Question) -> str:
-    return "model" if question.model else "service"
+def _name_pool_type(query: ExplainQuery) -> str:
+    return "model" if query.model else "service"
 
 
 def _find_homes(call: Call, members: list[Member]) -> list[Member]:
@@ -126,17 +126,17 @@
     return [known[name] for name in names]
 
 
-def _make_call(question: Question, contract: Contract, now_s: float) -> Call:
+def _make_call(query: ExplainQuery, contract: Contract, now_s: float) -> Call:
     return Call(
         request_id=REQUEST_ID,
         contract=contract,
-        kind=question.kind,
-        pool=question.pool,
+        kind=query.kind,
+        pool=query.pool,
         method="GET",
         path="/",
         headers={},
         body=b"",
-        chat=question.chat,
+        chat=query.chat,
         sequence=None,
         key="",
         idempotent=True,
--- a/src/tamarackrill/router/flow.py
+++ b/src/tamarackrill/router/flow.py
@@ -1,8 +1,8 @@
-"""The way of a call through its home router.
+"""Runs calls at their home router, from the team's limits to the answer.
 
-Limits of the team, order within the chat, claim, admission, placement, attempts, in
-that order: a call waits for its turn before it takes a place in a queue, and a claim
-is made before any byte can reach an endpoint.
+The steps of a call are, in this order: limits of the team, order within the chat,
+claim, admission, placement, attempts.  A call waits for its turn in the chat before it
+enters a queue, and its claim is made before any byte can reach an endpoint.
 """
 
 import asyncio
@@ -24,21 +24,22 @@
 from tamarackrill.router.upstream import CurlAsyncHTTPClient
 
 ATTEMPTS_MAX = 3
-# Some tens of steps of an engine, in which a slot may become free.
-FULL_PAUSE_S = 0.05
+# Delay before a call queues again that found all endpoints full: some tens of steps
+# of an engine, in which a slot may become free.
+FULL_RETRY_DELAY_S = 0.05
 
 
-class Flow:
-    """Runs calls; owns one task for each run.
+class CallRunner:
+    """Runs each call in a task of its own and starts its retries.
 
     Parameters
     ----------
     client : CurlAsyncHTTPClient
         For calls to endpoints; not owned.
     chats, claimer, limiter, admitter, placer, metrics
-        The parts that decide.
+        The steps of a call; not owned.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -65,25 +66,26 @@
 
     @property
     def running(self) -> int:
-        """Number of runs that have not ended."""
+        """Number of calls that have not ended."""
         return len(self._runs)
 
     def open(self, call: Call) -> Reply:
-        """Return the reply to a call; starts a run unless there is one already.
+        """Return the reply to a call; starts a run unless a resend can join one.
 
         Raises
         ------
         Refusal
-            If the call can't be joined to what is known of its key or chat.
+            If the call contradicts an earlier one of the same key or place in the
+            chat, or if the answer it resumes is no longer kept.
         """
-        known = self._chats.find(call, self._clock())
-        if known is not None:
-            return known
+        existing = self._chats.find(call, self._clock())
+        if existing is not None:
+            return existing
         if call.last_event_id:
-            # The events that the caller has are of a run that is no longer known
-            # here.  A new run would go on with other words, and the caller would put
-            # two half answers together.
-            message = "the answer is no longer kept; ask for all of it again"
+            # The events that the caller has come from a run that is no longer known
+            # here.  A new run would generate a different text, and the caller would
+            # join parts of two answers.
+            message = "the answer is no longer kept; request it again from the start"
             raise Refusal("answer_gone", 409, message, "unknown")
         reply = Reply(keep=self._chats.can_be_joined(call))
         self._chats.register(call, reply, self._clock())
@@ -93,7 +95,7 @@
         return reply
 
     async def drain(self) -> None:
-        """Return when every run has ended."""
+        """Wait until every call has ended."""
         while self._runs:
             await asyncio.wait(self._runs)
 
@@ -109,8 +111,8 @@
         except Refusal as refusal:
             self._refuse(call, reply, refusal)
         except Exception as error:  # noqa: BLE001
-            # A fault of our own must still end the reply: the caller would wait
-            # for ever, and the chat's later requests behind it.
+            # An internal error must still end the reply.  Otherwise the caller and the
+            # later requests of its chat would wait for ever.
             message = f"internal error: {type(error).__name__}"
             self._refuse(call, reply, Refusal("internal", 500, message, "unknown"))
             raise
@@ -132,54 +134,56 @@
 
     async def _serve(self, call: Call, reply: Reply) -> None:
         avoid: list[str] = []
-        sent = False
-        for number in range(ATTEMPTS_MAX):
-            is_last = number == ATTEMPTS_MAX - 1
+        may_have_run = False
+        for attempt_number in range(ATTEMPTS_MAX):
+            is_last = attempt_number == ATTEMPTS_MAX - 1
             placed, attempt = await self._admit_and_attempt(
-                call, reply, avoid, is_last, sent
+                call, reply, avoid, is_last, may_have_run
             )
-            sent = sent or attempt.outcome != "not_sent"
+            may_have_run = may_have_run or attempt.outcome != "not_sent"
             if attempt.outcome == "cut" and reply.started:
-                attempt = await self._resume(call, reply, placed)
+                attempt = await self._resume_stream(call, reply, placed)
             if attempt.outcome in ("answered", "overloaded"):
-                self._note_answer(call, attempt)
+                self._record_success(call, attempt)
                 reply.finish()
                 return
             if attempt.outcome == "cancelled":
                 raise Refusal("cancelled", 499, "the caller went away", "unknown")
-            if sent and not call.idempotent:
+            if may_have_run and not call.idempotent:
                 message = "the endpoint did not answer; the call may have run"
                 raise Refusal("endpoint_lost", 502, message, "unknown")
             if is_last or self._decide_retry(call, reply, attempt) != "retry":
                 break
             avoid.append(placed.endpoint.name)
-        message = "no endpoint gave a whole answer"
-        raise Refusal("endpoint_lost", 502, message, "unknown" if sent else "not_run")
+        message = "no endpoint returned a complete answer"
+        raise Refusal(
+            "endpoint_lost", 502, message, "unknown" if may_have_run else "not_run"
+        )
 
-    def _note_answer(self, call: Call, attempt: Attempt) -> None:
+    def _record_success(self, call: Call, attempt: Attempt) -> None:
         if attempt.outcome == "answered":
-            self._find_budget(call).note_success()
+            self._get_retry_budget(call).note_success()
 
     def _decide_retry(
         self, call: Call, reply: Reply, attempt: Attempt
     ) -> RetryDecision:
         outcome = attempt.outcome
         assert outcome in ("refused", "not_sent", "cut")
-        reason = self._find_budget(call).decide(
+        decision = self._get_retry_budget(call).decide(
             Failure(outcome, call.idempotent, reply.started),
             self._admitter.is_full(call),
             call.deadline_s - self._clock(),
             self._admitter.estimate_service_s(call),
         )
-        self._metrics.count("retry_decisions", reason)
-        return reason
+        self._metrics.count("retry_decisions", decision)
+        return decision
 
-    def _find_budget(self, call: Call) -> RetryBudget:
+    def _get_retry_budget(self, call: Call) -> RetryBudget:
         return self._budgets.setdefault(f"{call.kind}:{call.pool}", RetryBudget())
 
-    async def _resume(self, call: Call, reply: Reply, placed: Placed) -> Attempt:
-        # Only the engine that runs the stream can go on with it.  The rest of
-        # another engine's answer would be spliced to this one's beginning.
+    async def _resume_stream(self, call: Call, reply: Reply, placed: Placed) -> Attempt:
+        # Only the engine that generates the stream can resume it.  Another engine
+        # would generate a different text, which would not match what was sent.
         attempt = Attempt("cut", chunks=reply.count)
         while call.stream and attempt.outcome == "cut" and attempt.chunks:
             resumed = placed._replace(reason="resume", runners_up=())
@@ -188,17 +192,22 @@
         return attempt
 
     async def _admit_and_attempt(
-        self, call: Call, reply: Reply, avoid: list[str], is_last: bool, sent: bool
+        self,
+        call: Call,
+        reply: Reply,
+        avoid: list[str],
+        is_last: bool,
+        may_have_run: bool,
     ) -> tuple[Placed, Attempt]:
         arrived_s = self._clock()
-        reply.when_abandoned(lambda: self._admitter.cancel(call))
+        reply.set_abandoned_callback(lambda: self._admitter.cancel(call))
         while True:
-            await self._enter(call, sent)
+            await self._wait_for_admission(call, may_have_run)
             attempt = Attempt("not_sent")
             placed: Placed | None = None
             try:
                 wait_s = self._clock() - arrived_s
-                placed = await self._place(call, avoid, wait_s, sent)
+                placed = await self._place(call, avoid, wait_s, may_have_run)
                 if placed is not None:
                     attempt = await self._attempt(call, reply, placed, is_last)
                     return placed, attempt
@@ -206,30 +215,30 @@
                 if placed is not None:
                     self._placer.release(placed)
                 self._admitter.leave(call, attempt, self._clock())
-            # Other routers have filled the endpoints, which this one had not heard
-            # when it let the call pass.  The call has time to wait, so it queues
-            # again; the pause keeps it from spinning until the loads are known.
-            await asyncio.sleep(FULL_PAUSE_S)
+            # Other routers have filled the endpoints, and their load reports had not
+            # arrived when the call was admitted.  The call queues again until its
+            # deadline; the delay avoids a busy loop until the loads are known.
+            await asyncio.sleep(FULL_RETRY_DELAY_S)
             if reply.abandoned.is_set():
-                run: RunState = "unknown" if sent else "not_run"
+                run: RunState = "unknown" if may_have_run else "not_run"
                 raise Refusal("cancelled", 499, "the caller went away", run)
 
-    async def _enter(self, call: Call, sent: bool) -> None:
+    async def _wait_for_admission(self, call: Call, may_have_run: bool) -> None:
         try:
             await self._admitter.enter(call, self._clock())
         except Refusal as refusal:
             # This attempt was not sent, but an earlier one may have run.
-            refusal.run = "unknown" if sent else refusal.run
+            refusal.run = "unknown" if may_have_run else refusal.run
             raise
 
     async def _place(
-        self, call: Call, avoid: list[str], wait_s: float, sent: bool
+        self, call: Call, avoid: list[str], wait_s: float, may_have_run: bool
     ) -> Placed | None:
-        """Return where the call goes, or None if all endpoints are full."""
+        """Return the endpoint for the call, or None if all endpoints are full."""
         now_s = self._clock()
-        # A router that was frozen while the call waited wakes up with an old
-        # decision.  The caller has given up by then and may have asked elsewhere.
-        run: RunState = "unknown" if sent else "not_run"
+        # A router that was suspended while the call waited resumes with an outdated
+        # decision.  By then the caller has given up and may have retried elsewhere.
+        run: RunState = "unknown" if may_have_run else "not_run"
         if now_s >= call.deadline_s:
             raise Refusal("too_late", 504, "the deadline has passed", run)
         placed = await self._placer.place(call, avoid, now_s)
--- a/src/tamarackrill/router/front.py
+++ b/src/tamarackrill/router/front.py
@@ -1,4 +1,4 @@
-"""What all handlers of the callers' port share."""
+"""Base class and shared context of the HTTP handlers on the callers' port."""
 
 import asyncio
 import json
@@ -10,23 +10,23 @@
 
 from tamarackrill.contracts import Contract
 from tamarackrill.exceptions import Refusal
-from tamarackrill.router.explaining import Question
-from tamarackrill.router.flow import Flow
+from tamarackrill.router.explaining import ExplainQuery
+from tamarackrill.router.flow import CallRunner
 from tamarackrill.router.members import Members
 from tamarackrill.router.metrics import Metrics
 from tamarackrill.router.upstream import (
     CurlAsyncHTTPClient,
 )
 
-# Marks a refusal of a router that leaves, so that the next home is tried.
-LEAVING = "Tamarackrill-Leaving"
+# Marks a refusal by a router that is shutting down; the next home router is tried.
+LEAVING_HEADER = "Tamarackrill-Leaving"
 LEAVING_CODE = "leaving"
 NOT_FOUND = 404
 INTERNAL_ERROR = 500
 
 
 class OpenCalls:
-    """Counts the callers' connections that still wait for the end of an answer."""
+    """Counts the calls of clients whose answers have not ended."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -35,111 +35,110 @@
 
     @property
     def count(self) -> int:
-        """Calls that are open now."""
+        """Number of calls that are open now."""
         return self._count
 
-    def enter(self) -> None:
-        """Count one more."""
+    def increment(self) -> None:
+        """Add one call."""
         self._count += 1
         self._none.clear()
 
-    def leave(self) -> None:
-        """Count one less."""
+    def decrement(self) -> None:
+        """Remove one call."""
         self._count -= 1
         if not self._count:
             self._none.set()
 
-    async def wait_none(self) -> None:
-        """Return when no call is open."""
+    async def wait_until_zero(self) -> None:
+        """Wait until no call is open."""
         await self._none.wait()
 
 
-class Front(NamedTuple):
-    """What the handlers use; owned by the application object.
+class FrontContext(NamedTuple):
+    """Objects that the handlers share; owned by the application object.
 
     Parameters
     ----------
-    flow : Flow
+    call_runner : CallRunner
         Runs calls at this router.
     members : Members
-        Live routers, this one among them.
+        Live routers, including this one.
     client : CurlAsyncHTTPClient
         For calls to other routers.
     metrics : Metrics
         Counters.
     open_calls : OpenCalls
-        Calls whose answer has not ended.
+        Count of calls whose answers have not ended.
     body_max_bytes : int
-        Longest body.
+        Maximum size of a request body.
     peer_keys : tuple of str
         Keys shared by the routers.
-    find_holder : callable
-        Returns the contract that holds a key, by the key's hash.
+    find_contract_by_key_hash : callable
+        Returns the contract that an API key belongs to, by the key's hash.
     is_leaving : callable
-        Tells whether this router refuses new work.
+        Returns whether this router refuses new calls.
     is_ready : callable
-        Tells whether the balancer may send new work here.
+        Returns whether the load balancer may send new calls to this router.
     describe : callable
         Returns the status of this router.
     explain : callable
-        Returns where a call would go.
+        Returns where a call would be routed.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
-    flow: Flow
+    call_runner: CallRunner
     members: Members
     client: CurlAsyncHTTPClient
     metrics: Metrics
     open_calls: OpenCalls
     body_max_bytes: int
     peer_keys: tuple[str, ...]
-    find_holder: Callable[[str], Contract | None]
+    find_contract_by_key_hash: Callable[[str], Contract | None]
     is_leaving: Callable[[], bool]
     is_ready: Callable[[], bool]
     describe: Callable[[], dict[str, Any]]
-    explain: Callable[[Question], dict[str, Any]]
+    explain: Callable[[ExplainQuery], dict[str, Any]]
     clock: Callable[[], float] = time.monotonic
 
 
-class Handler(RequestHandler):
-    """Base of all handlers of the callers' port; answers 404 by itself."""
+class FrontHandler(RequestHandler):
+    """Base class of the handlers on the callers' port; by itself it answers 404."""
 
-    def initialize(self, front: Front) -> None:
-        """Take what the handlers share."""
+    def initialize(self, front: FrontContext) -> None:
+        """Store the context that the handlers share."""
         self.front = front
 
     def set_default_headers(self) -> None:
-        """Leave out the name of the server."""
+        """Leave out the Server header, which tornado would add."""
         self.clear_header("Server")
 
     def prepare(self) -> Any:
-        """Answer that there is nothing here."""
+        """Answer 404; overridden by handlers that serve a path."""
         raise HTTPError(NOT_FOUND)
 
     def compute_etag(self) -> None:
-        """Return no entity tag."""
-        # An entity tag of ours would turn an endpoint's answer into a 304.
+        """Return no entity tag, as it could turn an endpoint's answer into a 304."""
         return
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer an error of tornado's in the form of a refusal."""
-        self.send_refusal(_find_refusal(status_code, self._reason))
+        """Answer an error raised by tornado with the JSON body of a refusal."""
+        self.send_refusal(_build_refusal(status_code, self._reason))
 
     def send_refusal(self, refusal: Refusal) -> None:
-        """Answer with a refusal, or cut an answer that has begun."""
+        """Answer with a refusal, or abort an answer that has started."""
         if self._headers_written:
-            self.cut(refusal)
+            self.abort(refusal)
             return
         self.clear()
         self.set_status(refusal.status, refusal.code)
         if refusal.code == LEAVING_CODE:
-            self.set_header(LEAVING, "1")
+            self.set_header(LEAVING_HEADER, "1")
         self.set_header("Retry-After", str(max(1, round(refusal.retry_after_s))))
         self.finish(dict(refusal.to_body()))
 
-    def cut(self, refusal: Refusal) -> None:
-        """End an answer that has begun so that it can't be taken for a whole one."""
+    def abort(self, refusal: Refusal) -> None:
+        """End an answer that has started so that it can't be taken for complete."""
         content_type = self._headers.get("Content-Type") or ""
         if content_type.startswith("text/event-stream"):
             self.finish(f"event: error\ndata: {json.dumps(refusal.to_body())}\n\n")
@@ -149,10 +148,10 @@
             connection.detach().close()
 
 
-def _find_refusal(status: int, reason: str) -> Refusal:
-    # A fault of ours can come after the call was sent.  Told that nothing ran, the
-    # caller would send its confirmation again under a new key.
+def _build_refusal(status: int, reason: str) -> Refusal:
+    # An internal error can happen after the call was sent.  With "not_run" the caller
+    # would send its confirmation again under a new key.
     if status >= INTERNAL_ERROR:
-        return Refusal("internal", status, "a fault of the router", "unknown")
+        return Refusal("internal", status, "internal error in the router", "unknown")
     code = "not_found" if status == NOT_FOUND else "bad_request"
     return Refusal(code, status, reason)
--- a/src/tamarackrill/router/replies.py
+++ b/src/tamarackrill/router/replies.py
@@ -1,8 +1,8 @@
-"""The answer to one call: written once by the run, read by its callers.
+"""Buffer between the run of a call, which writes the answer, and its readers.
 
-A reply that is kept can be read again from any event, by a resend or by a caller
-whose stream was cut.  A reply that is not kept holds the run back until its only
-reader has taken what is there.
+A reply that is kept can be read again from any event, by a resend or by a caller that
+lost its connection.  A reply that is not kept applies backpressure: the run waits while
+its only reader is too far behind.
 """
 
 import asyncio
@@ -12,14 +12,14 @@
 from tamarackrill.router.outlets import Outlet
 from tamarackrill.router.upstream import Head
 
-# Bytes that a run may be ahead of its reader when the reply is not kept.
-AHEAD_MAX_BYTES = 64 * 1024
-# A longer answer is passed on but can't be read a second time.
-KEPT_MAX_BYTES = 1024 * 1024
+# Bytes that a run can be ahead of its reader if the reply is not kept.
+READ_AHEAD_MAX_BYTES = 64 * 1024
+# A longer answer is passed on but not kept, so it can't be read a second time.
+RETAINED_MAX_BYTES = 1024 * 1024
 
 
 class _Reader:
-    """How far one caller has got."""
+    """Position of one caller in the answer."""
 
     def __init__(self, outlet: Outlet, position: int) -> None:
         self.outlet = outlet
@@ -28,12 +28,12 @@
 
 
 class Reply(Outlet):
-    """Head and chunks of an answer; each chunk of a stream is one event.
+    """Head and chunks of an answer; a chunk of a stream is one event.
 
     Parameters
     ----------
     keep : bool
-        Whether the chunks stay for later readers.
+        Whether to keep the chunks for later readers.
     """
 
     def __init__(self, keep: bool) -> None:
@@ -43,10 +43,10 @@
         self.readers = 0
         self.started = False
         self._chunks: list[bytes] = []
-        self._dropped = 0
-        self._held_bytes = 0
+        self._discarded = 0
+        self._buffered_bytes = 0
         self._was_full = False
-        self._pumped: list[_Reader] = []
+        self._active_readers: list[_Reader] = []
         self._head: Head | None = None
         self._refusal: Refusal | None = None
         self._finished = False
@@ -56,18 +56,18 @@
 
     @property
     def count(self) -> int:
-        """Number of chunks written so far."""
-        return self._dropped + len(self._chunks)
+        """Number of chunks written, including those no longer held."""
+        return self._discarded + len(self._chunks)
 
     @property
     def is_finished(self) -> bool:
-        """Whether the run has ended, well or not."""
+        """Whether the run has ended, successfully or not."""
         return self._finished
 
     @property
     def is_complete(self) -> bool:
-        """Whether the run ended and all of the answer can still be read."""
-        return self._finished and self._refusal is None and not self._dropped
+        """Whether the run succeeded and all of the answer can still be read."""
+        return self._finished and self._refusal is None and not self._discarded
 
     @property
     def refusal(self) -> Refusal | None:
@@ -75,48 +75,48 @@
         return self._refusal
 
     def start(self, head: Head) -> None:
-        """Set status and headers."""
+        """Set the status and headers."""
         self._head = head
         self.started = True
         self._wake()
 
     def take(self, piece: bytes) -> bool:
-        """Append a chunk; return whether the run may go on."""
+        """Append a chunk; return whether there is room for more."""
         return self.extend([piece])
 
     def extend(self, pieces: list[bytes]) -> bool:
-        """Append chunks that came together; return whether the run may go on."""
+        """Append chunks that came together; return whether there is room for more."""
         size_bytes = sum(map(len, pieces))
         self._chunks += pieces
         self.size_bytes += size_bytes
-        self._held_bytes += size_bytes
-        if self.size_bytes > KEPT_MAX_BYTES:
+        self._buffered_bytes += size_bytes
+        if self.size_bytes > RETAINED_MAX_BYTES:
             self.keep = False
-        for reader in self._pumped:
-            self._feed(reader)
-        self._drop_taken()
+        for reader in self._active_readers:
+            self._deliver(reader)
+        self._discard_delivered()
         self._was_full = not self._has_room()
         return not self._was_full
 
     def finish(self) -> None:
-        """Mark the answer as whole."""
+        """Mark the answer as complete."""
         self._finished = True
         self._wake()
 
     def fail(self, refusal: Refusal) -> None:
-        """End the reply without a whole answer."""
+        """End the reply without a complete answer, unless it has ended already."""
         if not self._finished:
             self._refusal = refusal
             self._finished = True
             self._wake()
 
     async def head(self) -> Head:
-        """Return status and headers.
+        """Wait for the status and headers, and return them.
 
         Raises
         ------
         Refusal
-            If the run ended before.
+            If the run ended without an answer.
         """
         while self._head is None:
             if self._refusal is not None:
@@ -125,66 +125,66 @@
         return self._head
 
     async def pump(self, outlet: Outlet, after: int = 0) -> None:
-        """Hand on the chunks after the first `after` ones, to the end.
+        """Write all chunks after the first `after` ones to an outlet, until the end.
 
         Raises
         ------
         Refusal
-            If the run was cut, or if the chunks asked for are gone.
+            If the run failed, or if the requested chunks are no longer held.
         """
-        if after < self._dropped:
+        if after < self._discarded:
             message = "that part of the answer is no longer kept"
             raise Refusal("answer_gone", 409, message, "unknown")
         reader = _Reader(outlet, after)
         outlet.on_room = lambda: self._resume(reader)
-        self._pumped.append(reader)
+        self._active_readers.append(reader)
         try:
             self._resume(reader)
             while not self._finished or reader.position < self.count:
                 await self._wait()
         finally:
-            self._pumped.remove(reader)
+            self._active_readers.remove(reader)
         if self._refusal is not None:
             raise self._refusal
 
-    def leave(self) -> None:
-        """Tell the run that a reader has gone away."""
+    def remove_reader(self) -> None:
+        """Remove a reader; abandon the run if it was the last and nothing is kept."""
         self.readers -= 1
         if self.readers <= 0 and not self.keep:
             self.abandoned.set()
             self._on_abandoned()
 
-    def when_abandoned(self, react: Callable[[], None]) -> None:
-        """Have `react` called once no reader is left and nothing is kept."""
-        self._on_abandoned = react
+    def set_abandoned_callback(self, callback: Callable[[], None]) -> None:
+        """Set what is called once no reader is left and nothing is kept."""
+        self._on_abandoned = callback
 
-    def _feed(self, reader: _Reader) -> None:
-        waiting = self._chunks[reader.position - self._dropped :]
-        if waiting and not reader.is_full:
+    def _deliver(self, reader: _Reader) -> None:
+        undelivered = self._chunks[reader.position - self._discarded :]
+        if undelivered and not reader.is_full:
             reader.position = self.count
-            reader.is_full = not reader.outlet.take(b"".join(waiting))
+            reader.is_full = not reader.outlet.take(b"".join(undelivered))
 
     def _resume(self, reader: _Reader) -> None:
         reader.is_full = False
-        self._feed(reader)
-        self._drop_taken()
+        self._deliver(reader)
+        self._discard_delivered()
         if self._finished:
             self._wake()
         elif self._was_full and self._has_room():
             self._was_full = False
             self.on_room()
 
-    def _drop_taken(self) -> None:
-        if self.keep or not self._pumped:
+    def _discard_delivered(self) -> None:
+        if self.keep or not self._active_readers:
             return
-        lowest = min(reader.position for reader in self._pumped)
-        taken = self._chunks[: lowest - self._dropped]
-        del self._chunks[: lowest - self._dropped]
-        self._held_bytes -= sum(map(len, taken))
-        self._dropped = lowest
+        lowest = min(reader.position for reader in self._active_readers)
+        delivered = self._chunks[: lowest - self._discarded]
+        del self._chunks[: lowest - self._discarded]
+        self._buffered_bytes -= sum(map(len, delivered))
+        self._discarded = lowest
 
     def _has_room(self) -> bool:
-        return self.keep or self._held_bytes <= AHEAD_MAX_BYTES
+        return self.keep or self._buffered_bytes <= READ_AHEAD_MAX_BYTES
 
     def _wake(self) -> None:
         self._changed.set()
--- a/src/tamarackrill/router/views.py
+++ b/src/tamarackrill/router/views.py
@@ -1,38 +1,38 @@
-"""Handlers of queries, and the whole of the callers' port as an application."""
+"""Health, metrics and status handlers, and the application for the callers' port."""
 
 from tornado.web import Application
 
 from tamarackrill.exceptions import Refusal
 from tamarackrill.router.callers import CallHandler
-from tamarackrill.router.explaining import Question
-from tamarackrill.router.front import Front, Handler
+from tamarackrill.router.explaining import ExplainQuery
+from tamarackrill.router.front import FrontContext, FrontHandler
 
 
-class _QueryHandler(Handler):
+class _QueryHandler(FrontHandler):
     def prepare(self) -> None:
         return None
 
 
 class HealthHandler(_QueryHandler):
-    """Tells that the process runs."""
+    """Reports that the process is running."""
 
     def get(self) -> None:
-        """Answer at once."""
+        """Answer without checking any state."""
         self.finish({"health": "ok"})
 
 
 class ReadinessHandler(_QueryHandler):
-    """Tells whether the balancer may send new work."""
+    """Reports whether the load balancer may send new calls to this router."""
 
     def get(self) -> None:
-        """Answer 503 while leaving, without any contract, or with a faulty task."""
+        """Answer 503 when shutting down, without contracts, or after a task failed."""
         ready = self.front.is_ready()
         self.set_status(200 if ready else 503)
         self.finish({"ready": ready})
 
 
 class MetricsHandler(_QueryHandler):
-    """Metrics as text."""
+    """Metrics in the text format of Prometheus."""
 
     def get(self) -> None:
         """Answer with all metrics."""
@@ -41,39 +41,39 @@
 
 
 class StatusHandler(_QueryHandler):
-    """Status of this router, for queries."""
+    """Reports the status of this router."""
 
     def get(self) -> None:
-        """Answer with configuration, members, endpoints and work in flight."""
+        """Answer with configuration, members, endpoints and calls in flight."""
         self.finish(self.front.describe())
 
 
 class ExplainHandler(_QueryHandler):
-    """Where a call would go, for queries."""
+    """Reports where a call would be routed."""
 
     def get(self) -> None:
         """Answer for ``team``, ``chat`` and one of ``model`` and ``service``."""
-        arguments = [self.get_argument(name, "") for name in Question._fields]
+        arguments = [self.get_argument(name, "") for name in ExplainQuery._fields]
         try:
-            self.finish(self.front.explain(Question(*arguments)))
+            self.finish(self.front.explain(ExplainQuery(*arguments)))
         except Refusal as refusal:
             self.send_refusal(refusal)
 
 
-def make_front(front: Front) -> Application:
-    """Return the callers' side as a tornado application."""
-    bound = {"front": front}
+def make_front_application(front: FrontContext) -> Application:
+    """Return the tornado application that serves the callers' port."""
+    handler_arguments = {"front": front}
     return Application(
         [
-            (r"/v1/chat/completions", CallHandler, bound),
-            (r"/services/.+", CallHandler, bound),
-            (r"/healthz", HealthHandler, bound),
-            (r"/readyz", ReadinessHandler, bound),
-            (r"/metrics", MetricsHandler, bound),
-            (r"/v1/status", StatusHandler, bound),
-            (r"/v1/explain", ExplainHandler, bound),
+            (r"/v1/chat/completions", CallHandler, handler_arguments),
+            (r"/services/.+", CallHandler, handler_arguments),
+            (r"/healthz", HealthHandler, handler_arguments),
+            (r"/readyz", ReadinessHandler, handler_arguments),
+            (r"/metrics", MetricsHandler, handler_arguments),
+            (r"/v1/status", StatusHandler, handler_arguments),
+            (r"/v1/explain", ExplainHandler, handler_arguments),
         ],
-        default_handler_class=Handler,
-        default_handler_args=bound,
+        default_handler_class=FrontHandler,
+        default_handler_args=handler_arguments,
         log_function=lambda handler: None,
     )
--- a/tests/test_app.py
+++ b/tests/test_app.py
@@ -26,25 +26,26 @@
 }
 
 
-async def _end_well():
+async def _succeed():
     await asyncio.sleep(0)
 
 
 async def _fail():
     await asyncio.sleep(0)
-    raise ValueError("a fault of ours")
+    raise ValueError("internal error")
 
 
-@pytest.mark.parametrize(("work", "ready"), [(_end_well, True), (_fail, False)])
-def test_router_with_a_task_that_failed_is_not_ready(work, ready):
-    # A task of the daemon ends by a fault of ours.  The router would go on answering
-    # while nobody refuses what waits too long, and the balancer would not notice.
+@pytest.mark.parametrize(("work", "ready"), [(_succeed, True), (_fail, False)])
+def test_router_with_a_failed_task_is_not_ready(work, ready):
+    # A background task of the router fails.  The router would go on answering, but no
+    # longer refuse calls that wait too long, for example, and the load balancer would
+    # keep sending to it.
     async def run():
         router = RouterApplication(load_settings(FLAGS, {}))
         await router.start()
         router.known.take(ObjectVersion("contract", "t", 1, CONTRACT))
         assert router.is_ready()
-        router._spawn("added", work())
+        router._start_task("added", work())
         ended = asyncio.Event()
         router._tasks[-1].add_done_callback(lambda task: ended.set())
         await ended.wait()
@@ -55,8 +56,10 @@
     assert asyncio.run(run()) is ready
 
 
-def test_router_that_was_suspended_does_not_order_by_its_lapsed_lease(monkeypatch):
-    # Guards against orders of a router whose successor has ordered meanwhile.
+def test_suspended_router_gives_no_orders_under_an_expired_lease(monkeypatch):
+    # The VM of the lease's holder is suspended beyond the lease's expiry.  On a clock
+    # that stops meanwhile the router would still give orders, though another router may
+    # hold the lease by then.
     async def run():
         server, platform = listen(make_platform(PlatformState()))
         router = RouterApplication(
@@ -76,10 +79,10 @@
     assert asyncio.run(run()) is False
 
 
-def test_stopped_router_leaves_nothing_behind_in_its_process(caplog):
-    # A library user stops a router while it waits for the platform, and goes on.  A
-    # timeout that libcurl asked for last used to run on the closed client, and the
-    # log showed a traceback.
+def test_stopped_router_leaves_no_timeout_in_the_event_loop(caplog):
+    # A program that embeds a router stops it during a request to the platform.  A
+    # timeout that libcurl had requested last ran on the closed client, and the log
+    # showed a traceback.
     async def run():
         state = PlatformState()
         server, platform = listen(make_platform(state))
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -56,9 +56,9 @@
 
 
 @pytest.mark.parametrize("through", ["home", "other"])
-def test_caller_that_goes_away_frees_its_engine(fleet, through):
-    # A caller closes its connection in the middle of a stream.  If nobody told the
-    # engine, it would go on generating for nobody, and others would wait.
+def test_client_disconnect_cancels_the_run_at_the_engine(fleet, through):
+    # A client closes its connection in the middle of a stream.  Unless the run is
+    # cancelled, the engine goes on generating in vain and other calls wait.
     engine = fleet.add_engine("engine-1", "m", "--step-s=0.01")
     routers = [fleet.add_router("a"), fleet.add_router("b")]
     fleet.wait_ready()
@@ -74,9 +74,9 @@
 
 
 @pytest.mark.parametrize("stream", [False, True])
-def test_answer_cut_by_the_engine_reaches_the_caller_whole(fleet, stream):
-    # An engine closes the connection in the middle of an answer.  A caller that got
-    # the first half as if it were all would send out half a quote.
+def test_answer_interrupted_by_the_engine_arrives_complete(fleet, stream):
+    # An engine closes the connection in the middle of an answer.  A caller that takes
+    # the first part for a complete answer would send out half a quote.
     engine = fleet.add_engine("engine-1")
     fleet.add_engine("engine-2")
     router = fleet.add_router("a")
@@ -94,9 +94,9 @@
             assert answer.json()["usage"]["completion_tokens"] == 7
 
 
-def test_stream_that_can_not_be_finished_ends_in_an_error(fleet):
-    # The engine dies in the middle of a stream.  The caller must be able to tell
-    # that what it has is not the whole answer.
+def test_stream_of_a_killed_engine_ends_with_an_error_event(fleet):
+    # The engine is killed in the middle of a stream.  The caller must be able to tell
+    # that its answer is incomplete.
     engines = [
         fleet.add_engine(f"engine-{number}", "m", "--step-s=0.01") for number in (1, 2)
     ]
@@ -113,9 +113,9 @@
     assert b'"run": "unknown"' in rest
 
 
-def test_shutdown_finishes_what_is_in_flight_and_refuses_the_rest(fleet):
-    # An operator restarts a router while a caller reads a stream from it.  The
-    # stream must reach its end, and new callers must hear that nothing was run.
+def test_shutdown_finishes_calls_in_flight_and_refuses_new_ones(fleet):
+    # A router is restarted while a caller reads a stream from it.  The stream must be
+    # finished, and new calls must be refused as not run.
     fleet.add_engine("engine-1", "m", "--step-s=0.01")
     router = fleet.add_router("a")
     fleet.wait_ready()
@@ -133,9 +133,9 @@
     assert "in_flight=0" in router.wait_line(" router_stopped ")
 
 
-def test_chat_is_served_when_its_home_was_killed(fleet):
-    # A VM fails.  Callers whose chats had their home there must be served by the
-    # next router, though it remembers nothing of them.
+def test_chat_is_served_after_its_home_router_was_killed(fleet):
+    # A VM fails.  Chats that had their home router there must be served by the next
+    # router, though it has no state of them.
     fleet.add_engine("engine-1")
     routers = [fleet.add_router("a"), fleet.add_router("b")]
     fleet.wait_ready()
@@ -145,10 +145,10 @@
     assert answer.status == 200
 
 
-def test_stream_whose_home_dies_ends_in_an_error(fleet):
-    # The VM of the chat's home fails in the middle of a stream that came through
-    # another router.  The caller must see that the answer is not whole, and may have
-    # run; it sends the request again and is served without that VM.
+def test_stream_of_a_killed_home_router_ends_with_an_error_event(fleet):
+    # The VM of the chat's home router fails in the middle of a stream that another
+    # router forwards.  The caller must see that the answer is incomplete and that the
+    # call may have run; a retry must be served without that VM.
     fleet.add_engine("engine-1", "m", "--step-s=0.01")
     routers = [fleet.add_router("a"), fleet.add_router("b")]
     fleet.wait_ready()
@@ -166,9 +166,9 @@
     assert again.status == 200
 
 
-def test_forged_forward_is_treated_as_a_callers_request(fleet):
-    # A caller sets the headers that routers use among themselves, to be handed the
-    # stream of another team's call.  It must get its own answer.
+def test_forged_forwarding_headers_are_ignored(fleet):
+    # A caller sets the headers that routers use to forward calls, to get the stream of
+    # another team's call.  It must get its own answer.
     engine = fleet.add_engine("engine-1")
     router = fleet.add_router("a")
     fleet.wait_ready()
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -10,6 +10,6 @@
 @pytest.mark.parametrize(
     ("headers", "priority"), [({}, 3), ({"Request-Priority": "0"}, 0)]
 )
-def test_priority_is_the_contracts_unless_the_call_names_one(headers, priority):
+def test_priority_defaults_to_that_of_the_contract(headers, priority):
     call = read_call(CONTRACT, "POST", CHAT_PATH, headers, BODY, 0.0)
     assert call.priority == priority
