--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -62,7 +62,7 @@
     pull,
     pull_changes,
 )
-from tamarackrill.router.placement_telling import PlacementGossip
+from tamarackrill.router.placement_gossip import PlacementGossip
 from tamarackrill.router.platform_client import (
     PlatformClient,
     StoreCall,
@@ -429,7 +429,7 @@
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self._record_loop_lag(self.clock() - due_s)
             self.view.expire(self.clock())
-            self.flow.attempts.paths.ask_due()
+            self.flow.attempts.paths.probe_due()
             if self.cut_off.update():
                 # The balancer directs only new connections; a kept-alive one stays with
                 # this router until the router closes it.
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -30,7 +30,7 @@
 from tamarackrill.router.edge_placing import EdgePlacement, EdgePlacer
 from tamarackrill.router.edge_reply import EdgeReply
 from tamarackrill.router.metrics import Metrics
-from tamarackrill.router.paths import CONNECT_TIMEOUT_S, Paths
+from tamarackrill.router.paths import CONNECT_TIMEOUT_S, PathProber
 
 # Responses to earlier requests that are skipped before the connection is closed.
 MISMATCHED_ANSWERS_MAX = 2
@@ -112,7 +112,7 @@
         self._clock = clock
         self._crash_checks: set[asyncio.Task[None]] = set()
         self.pool = ChannelPool()
-        self.paths = Paths(
+        self.paths = PathProber(
             placer.reach,
             placer.list_endpoints,
             lambda: placer.list_witnesses(),
@@ -184,7 +184,7 @@
         try:
             return await open_channel(endpoint.address, timeout_s)
         except OSError as error:
-            self.paths.note_failure(endpoint, error)
+            self.paths.record_failure(endpoint, error)
             self._metrics.count("connects_failed", endpoint.zone)
             return AttemptResult("not_sent", repr(error))
 
@@ -213,7 +213,7 @@
             on_first_byte()
             first_s = self._clock() - started_s
             self._placer.observe_response_start(call, placed.endpoint, self._clock())
-            self.paths.note_answer(placed.endpoint)
+            self.paths.record_answer(placed.endpoint)
             if answer_headers.load is not None:
                 self._placer.observe_load(placed, answer_headers.load, self._clock())
             async with asyncio.timeout_at(call.deadline_s + RESPONSE_TRANSIT_S):
@@ -374,7 +374,7 @@
         try:
             channel = await open_channel(placed.endpoint.address, CONNECT_TIMEOUT_S)
         except OSError as error:
-            self.paths.note_failure(placed.endpoint, error)
+            self.paths.record_failure(placed.endpoint, error)
             if isinstance(error, ConnectionRefusedError):
                 self._record_crash(call, placed.endpoint.name)
         else:
