--- a/src/tamarackrill/router/admitting.py
+++ b/src/tamarackrill/router/admitting.py
@@ -55,8 +55,8 @@
             for pool in self._latest:
                 self._take(pool, now_s)
 
-    async def enter(self, call: Call, now_s: float) -> None:
-        """Return when the call may be placed; must be followed by `leave`.
+    async def acquire_slot(self, call: Call, now_s: float) -> None:
+        """Return when the call may be placed; must be followed by `release_slot`.
 
         Raises
         ------
@@ -82,7 +82,7 @@
             if future.done() and not future.cancelled() and not future.exception():
                 self._granted[pool] -= 1
 
-    def leave(self, call: Call, attempt: Attempt, now_s: float) -> None:
+    def release_slot(self, call: Call, attempt: Attempt, now_s: float) -> None:
         """Count a call as over and admit those that can go next."""
         # Only a stream tells its length: each event carries about one token.
         size_tokens = float(attempt.chunks) if call.stream else None
@@ -98,7 +98,7 @@
             refusal = Refusal("cancelled", 499, "the caller went away")
             self._waiters[call.request_id].set_exception(refusal)
 
-    def is_full(self, call: Call) -> bool:
+    def has_waiting(self, call: Call) -> bool:
         """Return whether calls wait for the pool of this one."""
         return self._queue.count_waiting(_name_pool(call.kind, call.pool)) > 0
 
@@ -107,7 +107,7 @@
         pool = _name_pool(call.kind, call.pool)
         return self._queue.estimate_service_s(pool, call.size_tokens)
 
-    def wake(self, pool: str) -> None:
+    def admit_waiting(self, pool: str) -> None:
         """Admit waiting calls of a model or service that may have free slots."""
         now_s = self._clock()
         self._take(_name_pool("engine", pool), now_s)
--- a/src/tamarackrill/router/app.py
+++ b/src/tamarackrill/router/app.py
@@ -29,9 +29,9 @@
 from tamarackrill.exceptions import PlatformUnavailable
 from tamarackrill.router import suspension
 from tamarackrill.router.admitting import Admitter
-from tamarackrill.router.background import log_failure
-from tamarackrill.router.binding import report_unusable
-from tamarackrill.router.chats import Chats
+from tamarackrill.router.background import log_task_failure
+from tamarackrill.router.binding import report_bind_error
+from tamarackrill.router.chats import ChatCoordinator
 from tamarackrill.router.claiming import Claimer
 from tamarackrill.router.configuring import KINDS, Configurer
 from tamarackrill.router.datagrams import PeerSocket
@@ -45,7 +45,7 @@
 from tamarackrill.router.load_reports import LoadReader
 from tamarackrill.router.members import Member, Members
 from tamarackrill.router.metrics import Metrics
-from tamarackrill.router.orders import EngineOrderer, Fleet
+from tamarackrill.router.orders import FleetView, ModelLoadController
 from tamarackrill.router.owners import Owners
 from tamarackrill.router.peer_api import (
     list_handlers,
@@ -101,7 +101,7 @@
         """Open the sockets and start the tasks."""
         settings = self.settings
         address = f"{settings.address}:{settings.port}"
-        with report_unusable("--address, --port", address):
+        with report_bind_error("--address, --port", address):
             sockets = bind_sockets(settings.port, settings.address)
         self.address = f"{self.settings.address}:{sockets[0].getsockname()[1]}"
         await self._open_peer_socket()
@@ -125,7 +125,7 @@
         settings = self.settings
         self._peer_socket = PeerSocket()
         address = f"{settings.address}:{settings.peer_port}"
-        with report_unusable("--address, --peer-port", address):
+        with report_bind_error("--address, --peer-port", address):
             self.peer_address = await self._peer_socket.start(
                 settings.address, settings.peer_port
             )
@@ -175,7 +175,7 @@
         self._peer_socket.handlers.append(self.limiter.take_datagram)
 
     def _make_flow(self) -> None:
-        self.chats = Chats(self.clock)
+        self.chats = ChatCoordinator(self.clock)
         self.claimer = Claimer(
             Claims(self.settings.name, uuid.uuid4().hex[:INCARNATION_DIGITS]),
             self.platform,
@@ -212,16 +212,16 @@
         await self.gossiper.start()
 
     async def _start_orders(self) -> None:
-        self.orderer = EngineOrderer(
+        self.load_controller = ModelLoadController(
             f"{self.settings.name}/{uuid.uuid4().hex}",
-            Fleet(self.members, self.list_contracts, self.list_endpoints),
+            FleetView(self.members, self.list_contracts, self.list_endpoints),
             self.platform,
             self._router_client,
             # A lease lapses while its holder is suspended.
             suspension.read_clock,
             LeaseTiming(self.settings.lease_s, self.settings.lease_s / 2),
         )
-        await self.orderer.start()
+        await self.load_controller.start()
 
     def _start_tasks(self) -> None:
         prober = Prober(
@@ -247,7 +247,7 @@
 
     def _note_end(self, task: asyncio.Task[None]) -> None:
         # A router that no longer refuses what waits too long, say, is not ready.
-        if log_failure(task):
+        if log_task_failure(task):
             self._faulty_task = task.get_name()
 
     def _serve_callers(self, sockets: list[socket.socket]) -> None:
@@ -267,16 +267,16 @@
         has_contracts = bool(self.known.list_contracts())
         return has_contracts and not self._leaving and not self._faulty_task
 
-    async def drain(self, told_s: float | None = None) -> None:
+    async def drain(self, stop_requested_s: float | None = None) -> None:
         """Refuse new work; return when nothing is in flight, or after the limit.
 
         Parameters
         ----------
-        told_s : float, optional
+        stop_requested_s : float, optional
             When the router was told to stop, from which the limit counts; now by
             default.
         """
-        waited_s = 0.0 if told_s is None else self.clock() - told_s
+        waited_s = 0.0 if stop_requested_s is None else self.clock() - stop_requested_s
         self._leaving = True
         self._server.leave()
         self.members.own = self.members.own._replace(state="leaving")
@@ -299,7 +299,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.claimer.stop()
-        await self.orderer.stop()
+        await self.load_controller.stop()
         await self.gossiper.stop()
         await self.configurer.stop()
         self._peer_socket.stop()
@@ -409,13 +409,13 @@
     def _take_objects(self, taken: list[ObjectVersion]) -> None:
         for item in taken:
             self.known.take(item)
-        self.placer.take_endpoints(self.clock())
+        self.placer.update_endpoints(self.clock())
         for endpoint in self.list_endpoints():
             self._wake_waiting(endpoint)
 
     def _wake_waiting(self, endpoint: Endpoint) -> None:
         for pool in endpoint.serves:
-            self.admitter.wake(pool)
+            self.admitter.admit_waiting(pool)
 
     async def _follow_vms(self) -> None:
         while True:
--- a/src/tamarackrill/router/background.py
+++ b/src/tamarackrill/router/background.py
@@ -5,7 +5,7 @@
 from tamarackrill.events import TASK_FAILED, log_event
 
 
-def log_failure(task: asyncio.Task[None]) -> bool:
+def log_task_failure(task: asyncio.Task[None]) -> bool:
     """Log the end of a task by a fault of ours; return whether it was one.
 
     Without it the router would answer on, and nobody would notice that it no longer
--- a/src/tamarackrill/router/binding.py
+++ b/src/tamarackrill/router/binding.py
@@ -8,7 +8,7 @@
 from tamarackrill.exceptions import Finding, FindingsError
 
 
-class Use(NamedTuple):
+class ListenAddress(NamedTuple):
     """An address that a process is going to listen at.
 
     Parameters
@@ -27,7 +27,7 @@
 
 
 @contextlib.contextmanager
-def report_unusable(place: str, address: str) -> Iterator[None]:
+def report_bind_error(place: str, address: str) -> Iterator[None]:
     """Turn the error of a socket that can't be bound into a finding.
 
     Raises
@@ -44,7 +44,7 @@
         raise FindingsError([Finding(place, message)]) from error
 
 
-def check_usable(uses: Iterable[Use]) -> None:
+def check_bindable(uses: Iterable[ListenAddress]) -> None:
     """Try all addresses before callers are let in at one of them.
 
     A router that finds out later that it can't run cuts the callers off that have
@@ -58,7 +58,7 @@
     findings: list[Finding] = []
     for use in uses:
         try:
-            with report_unusable(use.place, use.address):
+            with report_bind_error(use.place, use.address):
                 _bind_and_close(use)
         except FindingsError as error:
             findings += error.findings
@@ -66,7 +66,7 @@
         raise FindingsError(findings)
 
 
-def _bind_and_close(use: Use) -> None:
+def _bind_and_close(use: ListenAddress) -> None:
     host, _, port = use.address.rpartition(":")
     with socket.socket(type=use.kind) as tried:
         if use.kind == socket.SOCK_STREAM:
--- a/src/tamarackrill/router/callers.py
+++ b/src/tamarackrill/router/callers.py
@@ -8,11 +8,11 @@
 from tamarackrill.events import REQUEST_FORWARDED, log_event
 from tamarackrill.exceptions import Refusal
 from tamarackrill.router.calls import Call, find_contract, read_call
-from tamarackrill.router.claiming import HeldElsewhere
+from tamarackrill.router.claiming import ClaimHeldElsewhere
 from tamarackrill.router.forwarding import (
-    MAY_HAVE_RUN,
-    find_forwarded_id,
+    MAY_HAVE_RUN_HEADER,
     forward_call,
+    verify_forwarded_id,
 )
 from tamarackrill.router.front import LEAVING, LEAVING_CODE, Front, Handler
 from tamarackrill.router.members import Member
@@ -75,7 +75,7 @@
         front = self._handler.front
         now_s = front.clock()
         if self._last_s is not None:
-            front.metrics.record_gap(now_s - self._last_s)
+            front.metrics.record_token_gap(now_s - self._last_s)
         self._last_s = now_s
 
 
@@ -96,7 +96,7 @@
         self._contract: Contract | None = None
         self._counted = False
         self._is_gone = False
-        self._may_have_run = MAY_HAVE_RUN in self.request.headers
+        self._may_have_run = MAY_HAVE_RUN_HEADER in self.request.headers
 
     def send_refusal(self, refusal: Refusal) -> None:
         """Answer with a refusal that is also true of the routers tried before."""
@@ -166,7 +166,7 @@
         if self._contract is None:
             return
         call = self._read_call(self._contract)
-        forwarded_id = find_forwarded_id(
+        forwarded_id = verify_forwarded_id(
             self.request.headers, call.fingerprint, front.peer_keys
         )
         if forwarded_id:
@@ -250,12 +250,12 @@
             outlet = _CallerOutlet(self, call.stream)
             await reply.pump(outlet, call.after_event)
             outlet.finish()
-        except HeldElsewhere as held:
+        except ClaimHeldElsewhere as held:
             await self._ask_holder(call, held)
         finally:
             self._leave()
 
-    async def _ask_holder(self, call: Call, held: HeldElsewhere) -> None:
+    async def _ask_holder(self, call: Call, held: ClaimHeldElsewhere) -> None:
         # Routers that disagree for some seconds send a resend to another home.  The
         # router that holds the claim has the run or the answer; the caller would
         # otherwise hear "unknown" of a booking that went well.
--- a/src/tamarackrill/router/chats.py
+++ b/src/tamarackrill/router/chats.py
@@ -30,13 +30,13 @@
 from tamarackrill.events import REQUEST_JOINED, log_event
 from tamarackrill.exceptions import Refusal
 from tamarackrill.router.calls import Call
-from tamarackrill.router.claiming import HeldElsewhere
+from tamarackrill.router.claiming import ClaimHeldElsewhere
 from tamarackrill.router.replies import Reply
 
 EXPIRY_S = 1.0
 
 
-class Chats:
+class ChatCoordinator:
     """Replies by the identity under which a caller may ask again.
 
     Parameters
@@ -53,7 +53,7 @@
         self._turns: dict[str, asyncio.Future[Action]] = {}
         self._timer: asyncio.TimerHandle | None = None
 
-    def can_be_joined(self, call: Call) -> bool:
+    def can_recognize_resend(self, call: Call) -> bool:
         """Return whether a resend of the call can be told from a new call."""
         return _identify(call) is not None
 
@@ -107,7 +107,7 @@
                 action.code, status, message, action.run, action.retry_after_s
             )
 
-    def close(self, call: Call, reply: Reply, now_s: float) -> None:
+    def finish_call(self, call: Call, reply: Reply, now_s: float) -> None:
         """Let the next call of the chat go, and keep or forget the reply."""
         if call.chat and call.sequence is not None:
             refusal = reply.refusal
@@ -162,7 +162,7 @@
     have run.  A resend that comes after that would be refused for its place, though
     the other router has its answer; that it is there has to be remembered.
     """
-    is_held = isinstance(reply.refusal, HeldElsewhere)
+    is_held = isinstance(reply.refusal, ClaimHeldElsewhere)
     return is_held and call.sequence is not None
 
 
--- a/src/tamarackrill/router/claiming.py
+++ b/src/tamarackrill/router/claiming.py
@@ -51,7 +51,7 @@
 TIMER_MAX_S = 1.0
 
 
-class HeldElsewhere(Refusal):
+class ClaimHeldElsewhere(Refusal):
     """Another live router holds the claim; it has the run or the answer.
 
     Parameters
@@ -110,7 +110,7 @@
 
         Raises
         ------
-        HeldElsewhere
+        ClaimHeldElsewhere
             If another live router holds the claim.
         Refusal
             ``unknown`` if another attempt holds the claim, ``not_run`` if no claim
@@ -156,7 +156,7 @@
             message = "the deadline passed before the request was sent"
             raise Refusal("deadline_passed", 504, message)
 
-    def settle(self, call: Call, reply: Reply) -> None:
+    def record_outcome(self, call: Call, reply: Reply) -> None:
         """Record on the platform how a claimed call ended."""
         grant = self._grants.pop(call.request_id, None)
         if grant is None:
@@ -187,7 +187,7 @@
             asked=router,
         )
         if router:
-            return HeldElsewhere(router)
+            return ClaimHeldElsewhere(router)
         if held.claim.state == "done":
             message = "the request ran; its answer is no longer kept"
             return Refusal("already_run", 409, message, "unknown")
--- a/src/tamarackrill/router/configuring.py
+++ b/src/tamarackrill/router/configuring.py
@@ -26,7 +26,7 @@
     log_event,
 )
 from tamarackrill.exceptions import PlatformUnavailable
-from tamarackrill.router.background import log_failure
+from tamarackrill.router.background import log_task_failure
 from tamarackrill.router.peer_api import PeerUnavailable
 from tamarackrill.router.platform_client import AnswerTooLong, PlatformClient, WatchLost
 from tamarackrill.store_form import Listing
@@ -150,7 +150,7 @@
         """Start the watches."""
         for kind in self._kinds:
             task = asyncio.create_task(self._follow(kind), name=f"follow {kind}")
-            task.add_done_callback(log_failure)
+            task.add_done_callback(log_task_failure)
             self._tasks.append(task)
 
     async def stop(self) -> None:
--- a/src/tamarackrill/router/daemon.py
+++ b/src/tamarackrill/router/daemon.py
@@ -18,13 +18,15 @@
 
     from tamarackrill.logs import set_up_logs
     from tamarackrill.router.app import RouterApplication
-    from tamarackrill.router.lifecycle import run_until_told
+    from tamarackrill.router.lifecycle import run_until_stopped
     from tamarackrill.settings import load_settings
 
     settings = load_settings(arguments, os.environ)
     set_up_logs(settings.log_format)
     application = RouterApplication(settings)
-    asyncio.run(run_until_told(application, application.start, signals, settings.name))
+    asyncio.run(
+        run_until_stopped(application, application.start, signals, settings.name)
+    )
 
 
 if __name__ == "__main__":
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -43,7 +43,7 @@
 )
 from tamarackrill.platform.settings_file import PlatformSettings
 from tamarackrill.platform.store import STORE_FORM
-from tamarackrill.router.binding import report_unusable
+from tamarackrill.router.binding import report_bind_error
 from tamarackrill.router.configuring import Configurer
 from tamarackrill.router.cut_off import CutOffWatch
 from tamarackrill.router.datagrams import PeerSocket
@@ -182,7 +182,7 @@
         settings = self.settings
         self._peer_socket = PeerSocket(self.metrics.count)
         peer_address = f"{settings.ip}:{settings.peer_port}"
-        with report_unusable(settings.find_place("peer_port"), peer_address):
+        with report_bind_error(settings.find_place("peer_port"), peer_address):
             await self._peer_socket.start(settings.ip, settings.peer_port)
         self._store_client = CurlAsyncHTTPClient(force_instance=True)
         self._router_client = make_client()
@@ -253,7 +253,7 @@
         host, _, port = address.rpartition(":")
         application.settings["log_function"] = lambda handler: None
         server = HTTPServer(application)
-        with report_unusable(place, address):
+        with report_bind_error(place, address):
             server.listen(int(port), host)
         self._servers.append(server)
 
@@ -445,25 +445,25 @@
             return False
         return self.view.is_complete
 
-    async def drain(self, told_s: float | None = None) -> None:
+    async def drain(self, stop_requested_s: float | None = None) -> None:
         """Let what is in flight end, within the time that the platform gives.
 
         Parameters
         ----------
-        told_s : float, optional
+        stop_requested_s : float, optional
             When the router was told to stop, which may be long before it had started;
             now by default.
         """
-        if told_s is None:
-            told_s = self.clock()
+        if stop_requested_s is None:
+            stop_requested_s = self.clock()
         self.server.leave()
         self.gossiper.leave()
         in_flight = len(self.server.in_flight)
         log_event(ROUTER_LEAVING, router=self.settings.name, in_flight=in_flight)
         served_s = min(STILL_SERVED_S, self.settings.grace_s / 2)
-        await asyncio.sleep(told_s + served_s - self.clock())
+        await asyncio.sleep(stop_requested_s + served_s - self.clock())
         self.server.takes_work = False
-        until_s = told_s + self.settings.grace_s - STOP_SLACK_S
+        until_s = stop_requested_s + self.settings.grace_s - STOP_SLACK_S
         await self.server.server.finish(until_s - self.clock())
         left_s = until_s - self.clock()
         if self.server.in_flight and left_s > 0:
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -301,7 +301,7 @@
                     await reply.write(events)
                     now_s = self._clock()
                     if last_s is not None:
-                        self._metrics.record_gap(now_s - last_s)
+                        self._metrics.record_token_gap(now_s - last_s)
                     last_s = now_s
             if not piece:
                 reply.finish()
--- a/src/tamarackrill/router/edge_daemon.py
+++ b/src/tamarackrill/router/edge_daemon.py
@@ -13,17 +13,17 @@
 def _run(signals: Signals) -> None:
     # Each import comes as late as it may: first the handlers of signals stand, then
     # callers are let in, and the rest takes far longer than both.
-    from tamarackrill.router.binding import check_usable, report_unusable
+    from tamarackrill.router.binding import check_bindable, report_bind_error
     from tamarackrill.router.early_listener import open_listener
     from tamarackrill.router.edge_options import list_uses, read_options
 
     options = read_options()
-    if signals.stop_told_s is not None:
+    if signals.stop_requested_s is not None:
         return
-    check_usable(list_uses(options))
+    check_bindable(list_uses(options))
     settings = options.settings
     address = settings.callers_address
-    with report_unusable(settings.find_place("callers_address"), address):
+    with report_bind_error(settings.find_place("callers_address"), address):
         listener = open_listener(address)
 
     from tamarackrill.router.edge_process import run
--- a/src/tamarackrill/router/edge_options.py
+++ b/src/tamarackrill/router/edge_options.py
@@ -12,7 +12,7 @@
     is_address,
     parse_settings,
 )
-from tamarackrill.router.binding import Use
+from tamarackrill.router.binding import ListenAddress
 from tamarackrill.text_files import read_text
 
 PEER_KEYS_VARIABLE = "TAMARACKRILL_PEER_KEYS"
@@ -73,15 +73,17 @@
     return EdgeOptions(settings, peer_keys, int(port), peer_address)
 
 
-def list_uses(options: EdgeOptions) -> list[Use]:
+def list_uses(options: EdgeOptions) -> list[ListenAddress]:
     """Return all addresses that a router listens at."""
     settings = options.settings
     peer_address = f"{settings.ip}:{settings.peer_port}"
     peers = settings.find_place("peer_port")
     return [
-        Use(settings.find_place("callers_address"), settings.callers_address),
-        Use(settings.find_place("readiness_address"), settings.readiness_address),
-        Use(peers, peer_address),
-        Use(peers, peer_address, socket.SOCK_DGRAM),
-        Use(METRICS_PORT_VARIABLE, f"{settings.ip}:{options.metrics_port}"),
+        ListenAddress(settings.find_place("callers_address"), settings.callers_address),
+        ListenAddress(
+            settings.find_place("readiness_address"), settings.readiness_address
+        ),
+        ListenAddress(peers, peer_address),
+        ListenAddress(peers, peer_address, socket.SOCK_DGRAM),
+        ListenAddress(METRICS_PORT_VARIABLE, f"{settings.ip}:{options.metrics_port}"),
     ]
--- a/src/tamarackrill/router/edge_process.py
+++ b/src/tamarackrill/router/edge_process.py
@@ -6,7 +6,7 @@
 from tamarackrill.logs import set_up_bounded_logs
 from tamarackrill.router.edge_app import EdgeApplication
 from tamarackrill.router.edge_options import EdgeOptions
-from tamarackrill.router.lifecycle import run_until_told
+from tamarackrill.router.lifecycle import run_until_stopped
 from tamarackrill.router.process import Signals
 
 
@@ -36,7 +36,7 @@
         options.peer_address,
     )
     asyncio.run(
-        run_until_told(
+        run_until_stopped(
             application,
             lambda: application.start(listener),
             signals,
--- a/src/tamarackrill/router/flow.py
+++ b/src/tamarackrill/router/flow.py
@@ -15,11 +15,11 @@
 from tamarackrill.router.admitting import Admitter
 from tamarackrill.router.attempts import Attempt, attempt_call
 from tamarackrill.router.calls import Call
-from tamarackrill.router.chats import Chats
+from tamarackrill.router.chats import ChatCoordinator
 from tamarackrill.router.claiming import Claimer
 from tamarackrill.router.limiting import Limiter
 from tamarackrill.router.metrics import Metrics
-from tamarackrill.router.placing import Placed, Placer
+from tamarackrill.router.placing import PlacementResult, Placer
 from tamarackrill.router.replies import Reply
 from tamarackrill.router.upstream import CurlAsyncHTTPClient
 
@@ -44,7 +44,7 @@
     def __init__(
         self,
         client: CurlAsyncHTTPClient,
-        chats: Chats,
+        chats: ChatCoordinator,
         claimer: Claimer,
         limiter: Limiter,
         admitter: Admitter,
@@ -85,7 +85,7 @@
             # two half answers together.
             message = "the answer is no longer kept; ask for all of it again"
             raise Refusal("answer_gone", 409, message, "unknown")
-        reply = Reply(keep=self._chats.can_be_joined(call))
+        reply = Reply(keep=self._chats.can_recognize_resend(call))
         self._chats.register(call, reply, self._clock())
         task = asyncio.create_task(self._run(call, reply))
         self._runs.add(task)
@@ -115,8 +115,8 @@
             self._refuse(call, reply, Refusal("internal", 500, message, "unknown"))
             raise
         finally:
-            self._chats.close(call, reply, self._clock())
-            self._claimer.settle(call, reply)
+            self._chats.finish_call(call, reply, self._clock())
+            self._claimer.record_outcome(call, reply)
 
     def _refuse(self, call: Call, reply: Reply, refusal: Refusal) -> None:
         self._metrics.count_refusal(refusal.code)
@@ -167,7 +167,7 @@
         assert outcome in ("refused", "not_sent", "cut")
         reason = self._find_budget(call).decide(
             Failure(outcome, call.idempotent, reply.started),
-            self._admitter.is_full(call),
+            self._admitter.has_waiting(call),
             call.deadline_s - self._clock(),
             self._admitter.estimate_service_s(call),
         )
@@ -177,7 +177,9 @@
     def _find_budget(self, call: Call) -> RetryBudget:
         return self._budgets.setdefault(f"{call.kind}:{call.pool}", RetryBudget())
 
-    async def _resume(self, call: Call, reply: Reply, placed: Placed) -> Attempt:
+    async def _resume(
+        self, call: Call, reply: Reply, placed: PlacementResult
+    ) -> Attempt:
         # Only the engine that runs the stream can go on with it.  The rest of
         # another engine's answer would be spliced to this one's beginning.
         attempt = Attempt("cut", chunks=reply.count)
@@ -189,13 +191,13 @@
 
     async def _admit_and_attempt(
         self, call: Call, reply: Reply, avoid: list[str], is_last: bool, sent: bool
-    ) -> tuple[Placed, Attempt]:
+    ) -> tuple[PlacementResult, Attempt]:
         arrived_s = self._clock()
         reply.when_abandoned(lambda: self._admitter.cancel(call))
         while True:
             await self._enter(call, sent)
             attempt = Attempt("not_sent")
-            placed: Placed | None = None
+            placed: PlacementResult | None = None
             try:
                 wait_s = self._clock() - arrived_s
                 placed = await self._place(call, avoid, wait_s, sent)
@@ -205,7 +207,7 @@
             finally:
                 if placed is not None:
                     self._placer.release(placed)
-                self._admitter.leave(call, attempt, self._clock())
+                self._admitter.release_slot(call, attempt, self._clock())
             # Other routers have filled the endpoints, which this one had not heard
             # when it let the call pass.  The call has time to wait, so it queues
             # again; the pause keeps it from spinning until the loads are known.
@@ -216,7 +218,7 @@
 
     async def _enter(self, call: Call, sent: bool) -> None:
         try:
-            await self._admitter.enter(call, self._clock())
+            await self._admitter.acquire_slot(call, self._clock())
         except Refusal as refusal:
             # This attempt was not sent, but an earlier one may have run.
             refusal.run = "unknown" if sent else refusal.run
@@ -224,7 +226,7 @@
 
     async def _place(
         self, call: Call, avoid: list[str], wait_s: float, sent: bool
-    ) -> Placed | None:
+    ) -> PlacementResult | None:
         """Return where the call goes, or None if all endpoints are full."""
         now_s = self._clock()
         # A router that was frozen while the call waited wakes up with an old
@@ -241,7 +243,7 @@
         self._log_placed(call, placed, wait_s)
         return placed
 
-    def _log_placed(self, call: Call, placed: Placed, wait_s: float) -> None:
+    def _log_placed(self, call: Call, placed: PlacementResult, wait_s: float) -> None:
         log_event(
             REQUEST_ROUTED,
             team=call.team,
@@ -253,7 +255,7 @@
         )
 
     async def _attempt(
-        self, call: Call, reply: Reply, placed: Placed, is_last: bool
+        self, call: Call, reply: Reply, placed: PlacementResult, is_last: bool
     ) -> Attempt:
         endpoint: Endpoint = placed.endpoint
         self._claimer.check(call)
--- a/src/tamarackrill/router/forwarding.py
+++ b/src/tamarackrill/router/forwarding.py
@@ -12,20 +12,20 @@
 from tamarackrill.router.members import Member
 from tamarackrill.router.upstream import CurlAsyncHTTPClient, Exchange
 
-FORWARDED = "Tamarackrill-Forwarded"
-SIGNATURE = "Tamarackrill-Signature"
+FORWARDED_HEADER = "Tamarackrill-Forwarded"
+SIGNATURE_HEADER = "Tamarackrill-Signature"
 # Tells the next home that another router had the call before.  It needs no signature:
 # all that a caller gains by it is to be told "unknown" in place of "not run".
-MAY_HAVE_RUN = "Tamarackrill-May-Have-Run"
+MAY_HAVE_RUN_HEADER = "Tamarackrill-May-Have-Run"
 
 
-def sign_forward(peer_key: str, request_id: str, fingerprint: str) -> str:
+def sign_forwarded_call(peer_key: str, request_id: str, fingerprint: str) -> str:
     """Return the keyed digest that proves that a router forwarded a call."""
     message = f"{request_id}\n{fingerprint}".encode()
     return hmac.new(peer_key.encode(), message, hashlib.sha256).hexdigest()
 
 
-def find_forwarded_id(
+def verify_forwarded_id(
     headers: Mapping[str, str], fingerprint: str, peer_keys: tuple[str, ...]
 ) -> str:
     """Return the identity of a forwarded call, or empty if it was not forwarded.
@@ -33,10 +33,10 @@
     A caller could set the header itself.  Without the digest it could choose the
     identity of another team's call and be handed that call's stream.
     """
-    request_id = headers.get(FORWARDED, "")
-    given = headers.get(SIGNATURE, "")
+    request_id = headers.get(FORWARDED_HEADER, "")
+    given = headers.get(SIGNATURE_HEADER, "")
     for peer_key in peer_keys:
-        wanted = sign_forward(peer_key, request_id, fingerprint)
+        wanted = sign_forwarded_call(peer_key, request_id, fingerprint)
         if request_id and hmac.compare_digest(given.encode(), wanted.encode()):
             return request_id
     return ""
@@ -79,11 +79,13 @@
         **call.headers,
         "Authorization": authorization,
         "Request-Timeout-Ms": str(max(1, round(remaining_s * 1000))),
-        FORWARDED: call.request_id,
-        SIGNATURE: sign_forward(peer_key, call.request_id, call.fingerprint),
+        FORWARDED_HEADER: call.request_id,
+        SIGNATURE_HEADER: sign_forwarded_call(
+            peer_key, call.request_id, call.fingerprint
+        ),
     }
     if may_have_run:
-        headers[MAY_HAVE_RUN] = "1"
+        headers[MAY_HAVE_RUN_HEADER] = "1"
     if call.sequence is not None:
         headers["Chat-Sequence"] = str(call.sequence)
     if call.after_event:
--- a/src/tamarackrill/router/lifecycle.py
+++ b/src/tamarackrill/router/lifecycle.py
@@ -9,16 +9,19 @@
 
 
 class Application(Protocol):
-    """What `run_until_told` needs of an application object."""
+    """What `run_until_stopped` needs of an application object."""
 
-    async def drain(self, told_s: float | None = None) -> None:
-        """Let what is in flight end; the time allowed counts from `told_s`, or now."""
+    async def drain(self, stop_requested_s: float | None = None) -> None:
+        """Wait for requests in flight, up to a limit.
+
+        The limit counts from `stop_requested_s`, or from now if it is None.
+        """
 
     async def stop(self) -> None:
         """Close all that the start opened."""
 
 
-async def run_until_told(
+async def run_until_stopped(
     application: Application,
     start: Callable[[], Awaitable[None]],
     signals: Signals,
@@ -41,11 +44,11 @@
     told_to_stop = asyncio.Event()
 
     def take_signals() -> None:
-        signals.clear_wake_ups()
-        for _ in range(signals.take_reloads()):
+        signals.clear_wakeups()
+        for _ in range(signals.pop_reload_count()):
             # Neither daemon has settings that a running process could take over.
             log_event(ROUTER_RELOAD, router=router)
-        if signals.stop_told_s is not None:
+        if signals.stop_requested_s is not None:
             told_to_stop.set()
 
     loop = asyncio.get_running_loop()
@@ -55,8 +58,8 @@
         await start()
         try:
             await told_to_stop.wait()
-            assert signals.stop_told_s is not None
-            await application.drain(signals.stop_told_s)
+            assert signals.stop_requested_s is not None
+            await application.drain(signals.stop_requested_s)
         finally:
             await application.stop()
     finally:
--- a/src/tamarackrill/router/metrics.py
+++ b/src/tamarackrill/router/metrics.py
@@ -43,7 +43,7 @@
         """Record the time from sending to the first byte of the answer."""
         self._record("first_byte", kind, first_byte_s)
 
-    def record_gap(self, gap_s: float) -> None:
+    def record_token_gap(self, gap_s: float) -> None:
         """Record the time between two events of a stream, as the caller gets them."""
         self._record("token_gap", "engine", gap_s)
 
--- a/src/tamarackrill/router/orders.py
+++ b/src/tamarackrill/router/orders.py
@@ -49,7 +49,7 @@
 TAKEN = 200
 
 
-class Fleet(NamedTuple):
+class FleetView(NamedTuple):
     """What the orders are decided from.
 
     Parameters
@@ -65,7 +65,7 @@
     list_endpoints: Callable[[], list[Endpoint]]
 
 
-class EngineOrderer:
+class ModelLoadController:
     """Owns the lease and the orders that are pending; one task.
 
     Parameters
@@ -87,7 +87,7 @@
     def __init__(
         self,
         identity: str,
-        fleet: Fleet,
+        fleet: FleetView,
         platform: PlatformClient,
         client: CurlAsyncHTTPClient,
         clock: Callable[[], float],
--- a/src/tamarackrill/router/paths.py
+++ b/src/tamarackrill/router/paths.py
@@ -6,7 +6,7 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.reach import Reachability
 from tamarackrill.events import ENDPOINT_REACHED, ENDPOINT_UNREACHED, log_event
-from tamarackrill.router.background import log_failure
+from tamarackrill.router.background import log_task_failure
 from tamarackrill.router.channels import open_channel
 
 # A path inside a region takes 3 ms; the opening packet is sent again after a second,
@@ -90,7 +90,7 @@
 
     def _end(self, name: str, task: asyncio.Task[None]) -> None:
         del self._asked[name]
-        log_failure(task)
+        log_task_failure(task)
 
     async def _ask(self, endpoint: Endpoint) -> None:
         try:
--- a/src/tamarackrill/router/placement_telling.py
+++ b/src/tamarackrill/router/placement_telling.py
@@ -28,7 +28,7 @@
     read_news,
     write_news,
 )
-from tamarackrill.router.background import log_failure
+from tamarackrill.router.background import log_task_failure
 from tamarackrill.router.members import Member, Members
 from tamarackrill.router.metrics import Metrics
 from tamarackrill.router.peer_api import PeerUnavailable
@@ -99,7 +99,7 @@
         """Start to tell, and to learn what others know."""
         for work in (self._tell_for_ever(), self._learn()):
             task = asyncio.create_task(work)
-            task.add_done_callback(log_failure)
+            task.add_done_callback(log_task_failure)
             self._tasks.append(task)
 
     async def stop(self) -> None:
--- a/src/tamarackrill/router/placing.py
+++ b/src/tamarackrill/router/placing.py
@@ -34,7 +34,7 @@
 DEADLINE_SLACK_S = 0.05
 
 
-class Placed(NamedTuple):
+class PlacementResult(NamedTuple):
     """An endpoint that was chosen, why, and the reservation there."""
 
     endpoint: Endpoint
@@ -79,7 +79,7 @@
         self.poison = PoisonTracker()
         self.tell_crash: Callable[[CrashCount], None] = lambda count: None
 
-    def take_endpoints(self, now_s: float) -> None:
+    def update_endpoints(self, now_s: float) -> None:
         """Take note of endpoints that have joined or left."""
         names = {endpoint.name for endpoint in self._list_endpoints()}
         for name in names - self._known:
@@ -110,7 +110,7 @@
 
     async def place(
         self, call: Call, avoid: Collection[str], now_s: float
-    ) -> Placed | None:
+    ) -> PlacementResult | None:
         """Return where the call should go, or None if no endpoint can take it.
 
         Raises
@@ -125,7 +125,9 @@
             if choice is None:
                 break
             if not self._needs_owner(choice, len(allowed)):
-                return Placed(choice.endpoint, choice.reason, choice.runners_up)
+                return PlacementResult(
+                    choice.endpoint, choice.reason, choice.runners_up
+                )
             placed = await self._reserve(call, choice, now_s)
             if placed is not None:
                 return placed
@@ -136,7 +138,9 @@
         last = self._choose_emptiest(allowed, avoid, now_s)
         return await self._reserve(call, last, now_s, is_last=True) if last else None
 
-    def choose(self, call: Call, avoid: Collection[str], now_s: float) -> Placed | None:
+    def choose(
+        self, call: Call, avoid: Collection[str], now_s: float
+    ) -> PlacementResult | None:
         """Return where the call would go by this router's estimate; for queries.
 
         Raises
@@ -148,7 +152,7 @@
         choice = self._choose(call, allowed, avoid, now_s)
         if choice is None:
             return None
-        return Placed(choice.endpoint, choice.reason, choice.runners_up)
+        return PlacementResult(choice.endpoint, choice.reason, choice.runners_up)
 
     def is_servable(self, call: Call, avoid: Collection[str], now_s: float) -> bool:
         """Return whether an endpoint, free or full, may take the call.
@@ -158,7 +162,7 @@
         """
         return any(e.name not in avoid for e in self._list_allowed(call, now_s))
 
-    def release(self, placed: Placed) -> None:
+    def release(self, placed: PlacementResult) -> None:
         """End the reservation of a call, whose attempts are over."""
         if self._owners is not None and placed.ticket != UNCOUNTED:
             self._owners.release(placed.ticket)
@@ -205,7 +209,7 @@
 
     async def _reserve(
         self, call: Call, choice: EndpointChoice, now_s: float, is_last: bool = False
-    ) -> Placed | None:
+    ) -> PlacementResult | None:
         assert self._owners is not None
         name = choice.endpoint.name
         # The call counts while the owner is asked.  Otherwise its slot would be taken
@@ -223,7 +227,9 @@
             self.placement.observe_report(name, others, now_s, now_s)
             if not grant.is_granted:
                 return None
-        return Placed(choice.endpoint, choice.reason, choice.runners_up, ticket)
+        return PlacementResult(
+            choice.endpoint, choice.reason, choice.runners_up, ticket
+        )
 
     def start(self, call: Call, endpoint: Endpoint, now_s: float) -> None:
         """Count a call as running."""
--- a/src/tamarackrill/router/process.py
+++ b/src/tamarackrill/router/process.py
@@ -27,12 +27,12 @@
 
     Attributes
     ----------
-    stop_told_s : float or None
+    stop_requested_s : float or None
         When the process was first told to stop.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
-        self.stop_told_s: float | None = None
+        self.stop_requested_s: float | None = None
         self._clock = clock
         self._reloads = 0
         # An event loop that is about to wait sees a signal only through a descriptor.
@@ -45,8 +45,8 @@
         signal.signal(signal.SIGHUP, self._note_reload)
 
     def _note_stop(self, number: int, frame: FrameType | None) -> None:
-        if self.stop_told_s is None:
-            self.stop_told_s = self._clock()
+        if self.stop_requested_s is None:
+            self.stop_requested_s = self._clock()
 
     def _note_reload(self, number: int, frame: FrameType | None) -> None:
         self._reloads += 1
@@ -55,14 +55,14 @@
         """Return the descriptor that can be read once a signal has come."""
         return self._wake_reader
 
-    def clear_wake_ups(self) -> None:
+    def clear_wakeups(self) -> None:
         """Read what the descriptor holds."""
         try:
             os.read(self._wake_reader, WAKE_UPS_MAX_BYTES)
         except BlockingIOError:
             return
 
-    def take_reloads(self) -> int:
+    def pop_reload_count(self) -> int:
         """Return how often SIGHUP has come since the last time."""
         taken, self._reloads = self._reloads, 0
         return taken
--- a/tests/test_app.py
+++ b/tests/test_app.py
@@ -63,12 +63,12 @@
             load_settings([*FLAGS, f"--platform={platform}"], {})
         )
         await router.start()
-        orderer = router.orderer
-        while not orderer._lease.may_order(orderer._clock()):
+        load_controller = router.load_controller
+        while not load_controller._lease.may_order(load_controller._clock()):
             await asyncio.sleep(0)
         read = time.clock_gettime
         monkeypatch.setattr(time, "clock_gettime", lambda clock: read(clock) + 60.0)
-        found = orderer._lease.may_order(orderer._clock())
+        found = load_controller._lease.may_order(load_controller._clock())
         await router.stop()
         server.stop()
         return found
