--- a/src/tamarackrill/router/chats.py
+++ b/src/tamarackrill/router/chats.py
@@ -1,7 +1,7 @@
-"""Order within a chat and answers kept for resends, at the home router.
+"""Request ordering within chats and response caching for resends, at the home router.
 
-The decisions are those of `tamarackrill.decisions.ordering` and
-`tamarackrill.decisions.answers`; this task holds the replies and wakes the calls.
+`tamarackrill.decisions.ordering` and `tamarackrill.decisions.answers` decide; this
+module stores the replies and wakes the waiting calls.
 """
 
 import asyncio
@@ -33,16 +33,16 @@
 from tamarackrill.router.claiming import ClaimHeldElsewhere
 from tamarackrill.router.replies import Reply
 
-EXPIRY_S = 1.0
+CACHE_EXPIRY_INTERVAL_S = 1.0
 
 
 class ChatCoordinator:
-    """Replies by the identity under which a caller may ask again.
+    """Orders the calls of each chat and finds the replies that resends join.
 
     Parameters
     ----------
     clock : callable
-        Returns the present time, on the clock of the calls' deadlines.
+        Returns the current time, on the clock of the calls' deadlines.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -50,52 +50,52 @@
         self._answers = AnswerCache()
         self._replies: dict[Identity, Reply] = {}
         self._order = ChatOrder()
-        self._turns: dict[str, asyncio.Future[Action]] = {}
+        self._turn_futures: dict[str, asyncio.Future[Action]] = {}
         self._timer: asyncio.TimerHandle | None = None
 
     def can_recognize_resend(self, call: Call) -> bool:
-        """Return whether a resend of the call can be told from a new call."""
+        """Return whether a resend can be distinguished from a new call."""
         return _identify(call) is not None
 
     def find(self, call: Call, now_s: float) -> Reply | None:
-        """Return the reply that a resend joins, or None for a new call.
+        """Return the reply to a call that is a resend, or None for a new call.
 
         Raises
         ------
         Refusal
-            If the key or the place in the chat was used for another request.
+            If the key or the sequence number was used for another request.
         """
         identity = _identify(call)
         if identity is None:
             return None
-        verdict = look_up(self._answers, identity, call.fingerprint)
-        if verdict == "mismatch":
+        result = look_up(self._answers, identity, call.fingerprint)
+        if result == "mismatch":
             message = "the key or the sequence belongs to another request"
             raise Refusal("key_reused", 422, message)
-        if verdict == "new":
+        if result == "new":
             return None
         log_event(REQUEST_JOINED, team=call.team, chat=call.chat)
         return self._replies[identity]
 
     def register(self, call: Call, reply: Reply, now_s: float) -> None:
-        """Remember the reply of a new call."""
+        """Store the reply of a new call."""
         identity = _identify(call)
         if identity is not None:
             start(self._answers, identity, call.fingerprint)
             self._replies[identity] = reply
 
     async def wait_turn(self, call: Call, now_s: float) -> None:
-        """Return when the calls before this one in its chat are over.
+        """Wait until the earlier calls of the chat have ended.
 
         Raises
         ------
         Refusal
-            If the place in the chat is taken or passed, or its turn does not come.
+            If the sequence number is taken or passed, or earlier calls are missing.
         """
         if not call.chat or call.sequence is None:
             return
         turn: asyncio.Future[Action] = asyncio.get_running_loop().create_future()
-        self._turns[call.request_id] = turn
+        self._turn_futures[call.request_id] = turn
         arrived = Arrived(
             call.request_id, call.home_key, call.sequence, call.deadline_s
         )
@@ -108,34 +108,34 @@
             )
 
     def finish_call(self, call: Call, reply: Reply, now_s: float) -> None:
-        """Let the next call of the chat go, and keep or forget the reply."""
+        """Start the next call of the chat, and cache or drop the reply."""
         if call.chat and call.sequence is not None:
             refusal = reply.refusal
             ran = refusal is None or refusal.run == "unknown"
             ended = Ended(call.request_id, call.home_key, ran)
-            self._turns.pop(call.request_id, None)
+            self._turn_futures.pop(call.request_id, None)
             self._carry_out(handle_end(self._order, ended, now_s), now_s)
         identity = _identify(call)
         if identity is not None:
             expires_s = now_s + call.contract.answers_kept_s
-            is_kept = reply.is_whole or _is_held_out_of_turn(call, reply)
-            self._forget(
+            is_kept = reply.is_whole or _is_held_elsewhere_in_chat(call, reply)
+            self._drop_replies(
                 finish(self._answers, identity, reply.size_bytes, is_kept, expires_s)
             )
 
     async def run(self) -> None:
-        """Drop kept answers whose time is over, for ever."""
+        """Drop expired responses, until cancelled."""
         while True:
-            await asyncio.sleep(EXPIRY_S)
-            self._forget(expire(self._answers, self._clock()))
+            await asyncio.sleep(CACHE_EXPIRY_INTERVAL_S)
+            self._drop_replies(expire(self._answers, self._clock()))
 
-    def _forget(self, identities: list[Identity]) -> None:
+    def _drop_replies(self, identities: list[Identity]) -> None:
         for identity in identities:
             self._replies.pop(identity, None)
 
     def _carry_out(self, actions: list[Action], now_s: float) -> None:
         for action in actions:
-            turn = self._turns.pop(action.request, None)
+            turn = self._turn_futures.pop(action.request, None)
             if turn is not None and not turn.done():
                 turn.set_result(action)
         if self._timer is not None:
@@ -144,9 +144,9 @@
         due_s = next_due_s(self._order)
         if due_s is not None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(max(0.0, due_s - now_s), self._take_time)
+            self._timer = loop.call_later(max(0.0, due_s - now_s), self._handle_timeout)
 
-    def _take_time(self) -> None:
+    def _handle_timeout(self) -> None:
         now_s = self._clock()
         self._carry_out(handle_timeouts(self._order, now_s), now_s)
 
@@ -155,12 +155,12 @@
     return identify(call.team, call.key, call.chat, call.sequence)
 
 
-def _is_held_out_of_turn(call: Call, reply: Reply) -> bool:
-    """Return whether only another router can answer a resend.
+def _is_held_elsewhere_in_chat(call: Call, reply: Reply) -> bool:
+    """Return whether a call of a chat was refused because another router claimed it.
 
-    A call whose claim another router holds gives up its place in the chat, as it may
-    have run.  A resend that comes after that would be refused for its place, though
-    the other router has its answer; that it is there has to be remembered.
+    Such a call gives up its place in the chat because it may have run.  The refusal
+    that names the other router is cached, since a later resend would otherwise be
+    refused for its sequence number although the other router has the response.
     """
     is_held = isinstance(reply.refusal, ClaimHeldElsewhere)
     return is_held and call.sequence is not None
--- a/src/tamarackrill/router/claiming.py
+++ b/src/tamarackrill/router/claiming.py
@@ -1,7 +1,7 @@
 """Claims non-idempotent calls on the platform before they are sent.
 
-The decisions are those of `tamarackrill.decisions.claims`; this task carries them out:
-it owns their state, calls the platform and wakes the calls that wait for a claim.
+`tamarackrill.decisions.claims` decides.  This module owns the state, calls the platform
+and wakes the calls that wait for a claim.
 """
 
 import asyncio
@@ -47,12 +47,12 @@
 from tamarackrill.router.replies import Reply
 from tamarackrill.store_form import PlatformObject
 
-# A clock that was set back must not put off the timer by as much.
+# Limits how late the timer fires if the wall clock is set back.
 TIMER_MAX_S = 1.0
 
 
 class ClaimHeldElsewhere(Refusal):
-    """Another live router holds the claim; it has the run or the answer.
+    """Another live router holds the claim and is running or has run the call.
 
     Parameters
     ----------
@@ -61,24 +61,24 @@
     """
 
     def __init__(self, router: str) -> None:
-        message = "the request runs or ran at another router"
+        message = "another router is running or has run the request"
         super().__init__("claim_held", 409, message, "unknown")
         self.router = router
 
 
 class Claimer:
-    """Owns the claims of this router.
+    """Obtains, checks and updates the claims of this router.
 
     Parameters
     ----------
     claims : Claims
-        State of the decisions.
+        Claim state of this router.
     platform : PlatformClient
         Not owned.
     list_live : callable
-        Names of the routers believed to be live.
+        Returns the names of the routers believed to be live.
     wall_clock : callable
-        Wall-clock time; the expiry of claims is compared between VMs.
+        Returns the wall-clock time, since VMs compare the expiry of claims.
     """
 
     def __init__(
@@ -92,37 +92,37 @@
         self._platform = platform
         self._list_live = list_live
         self._wall_clock = wall_clock
-        self._asked: dict[int, asyncio.Future[Granted | Held | Refused]] = {}
-        self._requests = 0
+        self._pending: dict[int, asyncio.Future[Granted | Held | Refused]] = {}
+        self._last_request = 0
         self._grants: dict[str, Granted] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._calls: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def claim(self, call: Call, now_s: float) -> None:
-        """Return when the call may be sent; at once if it is idempotent.
+        """Wait until the call may be sent; return at once if it is idempotent.
 
         Parameters
         ----------
         call : Call
             The call.
         now_s : float
-            Present time on the clock of the call's deadline.
+            Current time on the clock of the call's deadline.
 
         Raises
         ------
         ClaimHeldElsewhere
             If another live router holds the claim.
         Refusal
-            ``unknown`` if another attempt holds the claim, ``not_run`` if no claim
-            can be made.
+            ``unknown`` if another attempt holds the claim, ``not_run`` if the claim
+            could not be written.
         """
         if call.idempotent:
             return
-        self._requests += 1
-        request = self._requests
+        self._last_request += 1
+        request = self._last_request
         outcome: asyncio.Future[Granted | Held | Refused]
         outcome = asyncio.get_running_loop().create_future()
-        self._asked[request] = outcome
+        self._pending[request] = outcome
         key_hash = hash_claim_key(call.team, call.key)
         wall_s = self._wall_clock()
         deadline_s = wall_s + call.deadline_s - now_s
@@ -142,12 +142,12 @@
         )
 
     def check(self, call: Call) -> None:
-        """Raise a refusal unless the call may be sent this instant.
+        """Raise a refusal unless the call may be sent right now.
 
         Raises
         ------
         Refusal
-            ``not_run`` if the claim that was granted is too old to send on.
+            ``not_run`` if the granted claim is too old.
         """
         if call.idempotent:
             return
@@ -166,15 +166,15 @@
             self._step(RunEnded(grant.key_hash, grant.attempt, sent=False))
         elif refusal is None and reply.is_finished:
             self._step(RunEnded(grant.key_hash, grant.attempt, sent=True))
-        # Else the outcome is unknown, and the claim stands as it is.
+        # Otherwise the outcome is unknown, and the claim stays unchanged.
 
     async def stop(self) -> None:
-        """Cancel the timer and the calls to the platform."""
+        """Cancel the timer and the requests to the platform."""
         if self._timer is not None:
             self._timer.cancel()
-        for task in self._calls:
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*self._calls, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _refuse_held(self, call: Call, held: Held) -> Refusal:
         router = find_router_to_ask(self._claims, held, self._list_live())
@@ -189,9 +189,11 @@
         if router:
             return ClaimHeldElsewhere(router)
         if held.claim.state == "done":
-            message = "the request ran; its answer is no longer kept"
+            message = "the request ran; its response is no longer cached"
             return Refusal("already_run", 409, message, "unknown")
-        message = "the router that claimed the request is gone; it may have run"
+        message = (
+            "the router that claimed the request is gone; the request may have run"
+        )
         return Refusal("claim_orphaned", 409, message, "unknown")
 
     def _step(self, message: Message) -> None:
@@ -202,23 +204,23 @@
 
     def _carry_out(self, action: Action) -> None:
         if isinstance(action, ReadBucket):
-            self._start(self._read(action))
+            self._start_task(self._read(action))
         elif isinstance(action, WriteBucket):
-            self._start(self._write(action))
+            self._start_task(self._write(action))
         else:
-            outcome = self._asked.pop(action.request)
+            outcome = self._pending.pop(action.request)
             if not outcome.done():
                 outcome.set_result(action)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
-        self._calls.add(task)
-        task.add_done_callback(self._calls.discard)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def _read(self, action: ReadBucket) -> None:
         try:
             found = await self._platform.get(CLAIM_KIND, action.bucket)
-            version, entries = _open(found)
+            version, entries = _decode_bucket(found)
         except PlatformUnavailable:
             self._step(ReadFailed(action.bucket))
             return
@@ -231,7 +233,7 @@
             result = await self._platform.put(
                 CLAIM_KIND, action.bucket, value, expected
             )
-            current_version, current = _open(result.current)
+            current_version, current = _decode_bucket(result.current)
         except PlatformUnavailable as error:
             log_event(CLAIM_UNANSWERED, bucket=action.bucket, reason=str(error))
             self._step(WriteUnanswered(action.bucket))
@@ -252,14 +254,14 @@
             self._timer = loop.call_later(wait_s, self._step, TimePassed())
 
 
-def _open(found: PlatformObject | None) -> tuple[int, Entries]:
+def _decode_bucket(found: PlatformObject | None) -> tuple[int, Entries]:
     if found is None:
         return 0, {}
     try:
         return found.version, decode_entries(found.value)
     except (TypeError, AttributeError) as error:
-        # Without claims that can be read, nothing may be sent.
-        message = f"claims of {found.name} can't be read: {error}"
+        # Without readable claims no call may be sent.
+        message = f"can't decode the claims of {found.name}: {error}"
         raise PlatformUnavailable(message) from error
 
 
@@ -270,9 +272,9 @@
 
 _REFUSALS = {
     "platform_unavailable": (503, "no claim can be made while the platform is down"),
-    "claim_timeout": (503, "the platform was too slow for a claim"),
-    "claims_busy": (503, "too many requests wait for a claim"),
-    "claims_contended": (503, "too many routers write the same claims"),
+    "claim_timeout": (503, "the platform did not confirm the claim in time"),
+    "claims_busy": (503, "too many requests are waiting for a claim"),
+    "claims_contended": (503, "too many routers are writing to the same claim bucket"),
     "claims_full": (503, "no room for another claim"),
     "deadline_passed": (504, "the deadline passed before the request was sent"),
 }
--- a/src/tamarackrill/router/forwarding.py
+++ b/src/tamarackrill/router/forwarding.py
@@ -1,7 +1,7 @@
-"""Hands a call to the home router of its chat, over HTTP.
+"""Forwards a call to its home router over HTTP.
 
-The body of a call is data and may be long or streamed, so it goes as a caller's
-request does; only control messages go in Thrift (docs/design/home.md).
+The body may be long or streamed, so it is sent like a caller's request; only control
+messages between routers use Thrift (docs/design/home.md).
 """
 
 import hashlib
@@ -14,13 +14,13 @@
 
 FORWARDED_HEADER = "Tamarackrill-Forwarded"
 SIGNATURE_HEADER = "Tamarackrill-Signature"
-# Tells the next home that another router had the call before.  It needs no signature:
-# all that a caller gains by it is to be told "unknown" in place of "not run".
+# Tells the next home that another router already had the call.  It needs no signature:
+# a caller that forges it only receives "unknown" instead of "not_run".
 MAY_HAVE_RUN_HEADER = "Tamarackrill-May-Have-Run"
 
 
 def sign_forwarded_call(peer_key: str, request_id: str, fingerprint: str) -> str:
-    """Return the keyed digest that proves that a router forwarded a call."""
+    """Return the HMAC that proves that a router forwarded a call."""
     message = f"{request_id}\n{fingerprint}".encode()
     return hmac.new(peer_key.encode(), message, hashlib.sha256).hexdigest()
 
@@ -28,16 +28,18 @@
 def verify_forwarded_id(
     headers: Mapping[str, str], fingerprint: str, peer_keys: tuple[str, ...]
 ) -> str:
-    """Return the identity of a forwarded call, or empty if it was not forwarded.
+    """Return the request id of a forwarded call, or an empty string.
 
-    A caller could set the header itself.  Without the digest it could choose the
-    identity of another team's call and be handed that call's stream.
+    A caller can set the header itself.  Without the signature it could take the id of
+    another team's call and receive that call's stream.
     """
     request_id = headers.get(FORWARDED_HEADER, "")
-    given = headers.get(SIGNATURE_HEADER, "")
+    given_signature = headers.get(SIGNATURE_HEADER, "")
     for peer_key in peer_keys:
-        wanted = sign_forwarded_call(peer_key, request_id, fingerprint)
-        if request_id and hmac.compare_digest(given.encode(), wanted.encode()):
+        expected = sign_forwarded_call(peer_key, request_id, fingerprint)
+        if request_id and hmac.compare_digest(
+            given_signature.encode(), expected.encode()
+        ):
             return request_id
     return ""
 
@@ -51,7 +53,7 @@
     now_s: float,
     may_have_run: bool = False,
 ) -> Exchange:
-    """Send a call to its home and return the exchange.
+    """Send a call to its home router and return the exchange.
 
     Parameters
     ----------
@@ -60,15 +62,15 @@
     call : Call
         The call.
     home : Member
-        Where it goes.
+        The home router.
     authorization : str
-        The caller's own header; the home checks it again.
+        The caller's header, which the home router checks again.
     peer_key : str
-        First key shared by the routers.
+        Key that signs the forwarded call.
     now_s : float
-        Present time.
+        Current time.
     may_have_run : bool, default=False
-        Whether another router had the call before.
+        Whether another router already had the call.
 
     Returns
     -------
