--- a/src/tamarackrill/router/__init__.py
+++ b/src/tamarackrill/router/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: an application object and the tasks that it owns."""
+"""The router daemons: application objects and their background tasks."""
--- a/src/tamarackrill/router/background.py
+++ b/src/tamarackrill/router/background.py
@@ -1,4 +1,4 @@
-"""What becomes of a task that runs for as long as the router does."""
+"""Failure handling of long-running background tasks."""
 
 import asyncio
 
@@ -6,10 +6,10 @@
 
 
 def log_task_failure(task: asyncio.Task[None]) -> bool:
-    """Log the end of a task by a fault of ours; return whether it was one.
+    """Log the exception that ended a task, if any; return whether there was one.
 
-    Without it the router would answer on, and nobody would notice that it no longer
-    hears of the configuration, say.
+    Otherwise the router would continue to serve, and nobody would notice that, for
+    example, it no longer receives configuration updates.
     """
     if task.cancelled() or task.exception() is None:
         return False
--- a/src/tamarackrill/router/binding.py
+++ b/src/tamarackrill/router/binding.py
@@ -1,4 +1,4 @@
-"""What is told when an address can't be listened at."""
+"""Checks listen addresses and reports those that can't be bound."""
 
 import contextlib
 import socket
@@ -9,16 +9,16 @@
 
 
 class ListenAddress(NamedTuple):
-    """An address that a process is going to listen at.
+    """An address that a process is going to listen on.
 
     Parameters
     ----------
     place : str
-        Setting that holds it.
+        Setting that contains the address.
     address : str
         ``host:port``.
     kind : socket.SocketKind, optional
-        Stream or datagrams.
+        Stream or datagram socket.
     """
 
     place: str
@@ -28,13 +28,13 @@
 
 @contextlib.contextmanager
 def report_bind_error(place: str, address: str) -> Iterator[None]:
-    """Turn the error of a socket that can't be bound into a finding.
+    """Convert the error of a failed bind into a finding.
 
     Raises
     ------
     FindingsError
-        If the body raises what a socket raises for an address that is in use, that is
-        not this VM's, or that is none.
+        If the body raises the error of a socket for an address that is in use, does
+        not belong to this VM or is malformed.
     """
     try:
         yield
@@ -44,31 +44,31 @@
         raise FindingsError([Finding(place, message)]) from error
 
 
-def check_bindable(uses: Iterable[ListenAddress]) -> None:
-    """Try all addresses before callers are let in at one of them.
+def check_bindable(addresses: Iterable[ListenAddress]) -> None:
+    """Check that all addresses can be bound before any of them accepts callers.
 
-    A router that finds out later that it can't run cuts the callers off that have
-    connected meanwhile, again and again as it is started again.
+    A router that fails later in its start drops the callers that have connected
+    meanwhile, and does so again at each restart.
 
     Raises
     ------
     FindingsError
-        With each address that can't be listened at.
+        One finding for each address that can't be bound.
     """
     findings: list[Finding] = []
-    for use in uses:
+    for entry in addresses:
         try:
-            with report_bind_error(use.place, use.address):
-                _bind_and_close(use)
+            with report_bind_error(entry.place, entry.address):
+                _bind_and_close(entry)
         except FindingsError as error:
             findings += error.findings
     if findings:
         raise FindingsError(findings)
 
 
-def _bind_and_close(use: ListenAddress) -> None:
-    host, _, port = use.address.rpartition(":")
-    with socket.socket(type=use.kind) as tried:
-        if use.kind == socket.SOCK_STREAM:
-            tried.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        tried.bind((host, int(port)))
+def _bind_and_close(entry: ListenAddress) -> None:
+    host, _, port = entry.address.rpartition(":")
+    with socket.socket(type=entry.kind) as test_socket:
+        if entry.kind == socket.SOCK_STREAM:
+            test_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        test_socket.bind((host, int(port)))
--- a/src/tamarackrill/router/daemon.py
+++ b/src/tamarackrill/router/daemon.py
@@ -1,4 +1,4 @@
-"""``tamarackrilld``: reads the settings and runs one router until SIGTERM."""
+"""``tamarackrilld``: loads the settings and runs one router until SIGTERM."""
 
 import sys
 from collections.abc import Sequence
@@ -8,8 +8,8 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run the daemon and return its exit code."""
-    given = sys.argv[1:] if arguments is None else arguments
-    return run_process(lambda signals: _run(given, signals))
+    command_line = sys.argv[1:] if arguments is None else arguments
+    return run_process(lambda signals: _run(command_line, signals))
 
 
 def _run(arguments: Sequence[str], signals: Signals) -> None:
--- a/src/tamarackrill/router/lifecycle.py
+++ b/src/tamarackrill/router/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a router's application: started, told to stop, drained, stopped."""
+"""Application lifecycle: start, wait for a stop signal, drain, stop."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 
 
 class Application(Protocol):
-    """What `run_until_stopped` needs of an application object."""
+    """Interface of the applications that `run_until_stopped` runs."""
 
     async def drain(self, stop_requested_s: float | None = None) -> None:
         """Wait for requests in flight, up to a limit.
@@ -18,7 +18,7 @@
         """
 
     async def stop(self) -> None:
-        """Close all that the start opened."""
+        """Close everything that the start opened."""
 
 
 async def run_until_stopped(
@@ -27,37 +27,37 @@
     signals: Signals,
     router: str,
 ) -> None:
-    """Start an application, and drain and stop it once the process is told to stop.
+    """Run an application until a stop signal arrives, then drain and stop it.
 
     Parameters
     ----------
     application : Application
-        Owns what `start` opens.
+        The application; owns everything that `start` opens.
     start : callable
-        Starts it.  A router that is told to stop meanwhile is started all the same:
-        the callers that are connected already are owed an answer.
+        Starts the application.  The start completes even if a stop signal arrives
+        meanwhile, so that callers that are already connected get a response.
     signals : Signals
-        Those of this process.
+        Signals of this process.
     router : str
-        Its name, for the log.
+        Name of the router, for the log.
     """
-    told_to_stop = asyncio.Event()
+    stop_event = asyncio.Event()
 
-    def take_signals() -> None:
+    def handle_signals() -> None:
         signals.clear_wakeups()
         for _ in range(signals.pop_reload_count()):
-            # Neither daemon has settings that a running process could take over.
+            # Neither daemon has settings that can be reloaded at run time.
             log_event(ROUTER_RELOAD, router=router)
         if signals.stop_requested_s is not None:
-            told_to_stop.set()
+            stop_event.set()
 
     loop = asyncio.get_running_loop()
-    loop.add_reader(signals.fileno(), take_signals)
+    loop.add_reader(signals.fileno(), handle_signals)
     try:
-        take_signals()
+        handle_signals()
         await start()
         try:
-            await told_to_stop.wait()
+            await stop_event.wait()
             assert signals.stop_requested_s is not None
             await application.drain(signals.stop_requested_s)
         finally:
--- a/src/tamarackrill/router/orders.py
+++ b/src/tamarackrill/router/orders.py
@@ -1,9 +1,9 @@
-"""Gives orders to engines, under a lease with a rising fencing number.
+"""Sends model load orders to engines, under a lease with an increasing fencing number.
 
-One router at a time does it: whoever holds the lease.  Of the others only the first
-of the live routers in the order of the lease's own name tries to get it, so that its
-cost to the platform does not grow with the fleet.  That choice only saves calls; what
-keeps two routers from ordering at once is the lease.
+Only the lease holder sends orders.  Of the other routers, only the one that rendezvous
+hashing of the lease name ranks first tries to acquire the lease, so that the cost to
+the platform does not grow with the fleet.  That selection only saves requests; mutual
+exclusion comes from the lease.
 """
 
 import asyncio
@@ -45,19 +45,19 @@
 LEASE_KIND = "lease"
 LEASE_NAME = "engine-orders"
 ORDERS_PATH = "/v1/orders"
-STEP_S = 0.5
-TAKEN = 200
+STEP_INTERVAL_S = 0.5
+STATUS_OK = 200
 
 
 class FleetView(NamedTuple):
-    """What the orders are decided from.
+    """Live routers, contracts and endpoints, from which load orders are planned.
 
     Parameters
     ----------
     members : Members
         Live routers.
     list_contracts, list_endpoints : callable
-        Return what is in force now.
+        Return the contracts and endpoints in force now.
     """
 
     members: Members
@@ -66,20 +66,20 @@
 
 
 class ModelLoadController:
-    """Owns the lease and the orders that are pending; one task.
+    """Background task that holds the lease and sends load orders.
 
     Parameters
     ----------
     identity : str
-        Unique for each start of a router.
-    fleet : Fleet
-        What is known.
+        Unique per start of a router.
+    fleet : FleetView
+        Input of the planning.
     platform : PlatformClient
         Not owned.
     client : CurlAsyncHTTPClient
-        For the engines; not owned.
+        For requests to engines; not owned.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     timing : LeaseTiming, optional
         Durations of the lease.
     """
@@ -108,21 +108,21 @@
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """End the task; the lease lapses by itself."""
+        """Stop the task; the lease is left to expire."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def _run(self) -> None:
         while True:
-            # Whoever holds the lease keeps it.  Otherwise each router that returns
-            # would wait out lease and longest order to become the holder again, and
-            # engines would get no order meanwhile.
-            if self._lease.may_order(self._clock()) or self._is_first():
+            # The holder keeps the lease even if it no longer ranks first.  Otherwise
+            # each returning router would first wait for the lease and the longest
+            # order to expire, and engines would get no orders meanwhile.
+            if self._lease.may_order(self._clock()) or self._ranks_first():
                 await self._step()
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
-    def _is_first(self) -> bool:
+    def _ranks_first(self) -> bool:
         names = [member.name for member in self._fleet.members.list_live()]
         first = rendezvous_order(LEASE_NAME, names, 1)
         return first == [self._fleet.members.own.name]
@@ -131,8 +131,8 @@
         try:
             await self._advance_lease()
         except PlatformUnavailable:
-            # A write may have taken effect; only a read can tell.  Until then the
-            # lease that is held runs out, and with it the right to order.
+            # The write may have taken effect, which only a read can show.  Until then
+            # the held lease is not extended, and expires along with the right to order.
             self._lease.handle_lost_write()
             return
         engines = [
@@ -147,11 +147,11 @@
         needed = list_needed_models(self._fleet.list_contracts())
         by_name = {engine.name: engine for engine in engines}
         for order in plan_loads(needed, engines, self._pending):
-            await self._give(order, by_name[order.engine])
+            await self._send_order(order, by_name[order.engine])
 
     async def _advance_lease(self) -> None:
         before = self._lease.holder
-        await self._act(self._lease.next_action(self._clock()))
+        await self._run_lease_action(self._lease.next_action(self._clock()))
         holder = self._lease.holder
         if holder != before:
             log_event(
@@ -161,7 +161,7 @@
                 is_own=holder == self._identity,
             )
 
-    async def _act(self, action: ReadLease | WriteLease | None) -> None:
+    async def _run_lease_action(self, action: ReadLease | WriteLease | None) -> None:
         if isinstance(action, ReadLease):
             found = await self._platform.get(LEASE_KIND, LEASE_NAME)
             record = read_lease_record(found.value) if found else None
@@ -174,16 +174,16 @@
             )
             self._lease.handle_write(action, result.version, sent_s, self._clock())
 
-    async def _give(self, order: LoadOrder, engine: Endpoint) -> None:
+    async def _send_order(self, order: LoadOrder, engine: Endpoint) -> None:
         now_s = self._clock()
-        # A router can be frozen between planning and here.  An engine that ignores
-        # fencing numbers would then take this order after those of the successor.
+        # The process may have been frozen since planning.  An engine that ignores
+        # fencing numbers would then accept this order after those of the successor.
         if not self._lease.may_order(now_s):
             return
         self._pending[order.engine] = PendingLoad(order, now_s)
         body = {"order": "load", **order._asdict(), "fence": self._lease.fence}
-        status = await self._send(engine, json.dumps(body).encode())
-        event = ORDER_GIVEN if status == TAKEN else ORDER_NOT_TAKEN
+        status = await self._post_order(engine, json.dumps(body).encode())
+        event = ORDER_GIVEN if status == STATUS_OK else ORDER_NOT_TAKEN
         log_event(
             event,
             endpoint=order.engine,
@@ -191,10 +191,10 @@
             replaces=order.replaces,
             fence=self._lease.fence,
         )
-        if status != TAKEN:
+        if status != STATUS_OK:
             del self._pending[order.engine]
 
-    async def _send(self, engine: Endpoint, body: bytes) -> int:
+    async def _post_order(self, engine: Endpoint, body: bytes) -> int:
         exchange = Exchange(
             self._client,
             "POST",
--- a/src/tamarackrill/router/placing.py
+++ b/src/tamarackrill/router/placing.py
@@ -1,4 +1,4 @@
-"""Places calls on endpoints: asks the decisions, and logs what they decide."""
+"""Selects endpoints for calls and feeds outcomes back to health and load tracking."""
 
 from collections.abc import Callable, Collection
 from typing import NamedTuple
@@ -27,15 +27,16 @@
 from tamarackrill.router.calls import Call
 from tamarackrill.router.owners import UNCOUNTED, Owners, Ticket
 
-# Prompts are mostly English or Welsh text, at about four bytes a token; only their
-# order of size matters, between two engines that hold parts of the same chat.
+# Prompts are mostly English or Welsh text, at about four bytes per token.  The result
+# only needs the right order of magnitude, to compare two engines that cache parts of
+# the same chat.
 TOKEN_BYTES = 4
-# An attempt that ended this close to its deadline was ended by it.
+# An attempt that ended this close to its deadline counts as timed out, not crashed.
 DEADLINE_SLACK_S = 0.05
 
 
 class PlacementResult(NamedTuple):
-    """An endpoint that was chosen, why, and the reservation there."""
+    """The selected endpoint, the reason, and the reservation there."""
 
     endpoint: Endpoint
     reason: str
@@ -44,23 +45,23 @@
 
 
 class Placer:
-    """Knows the endpoints, their health and what runs on each.
+    """Selects endpoints by their health, load and reservations.
 
     Parameters
     ----------
     list_endpoints : callable
-        Returns all endpoints known now.
+        Returns all known endpoints.
     load_factor : float, optional
-        Multiple of the mean load that no endpoint exceeds.
+        Maximum load of an endpoint as a multiple of the mean load.
     zone : str, optional
         Availability zone of this router, and so of its callers.
     owners : Owners, optional
-        Where reservations are made; without it the estimate alone decides.
+        Grants reservations; without it only load estimates are used.
 
     Attributes
     ----------
     tell_crash : callable
-        Called with what to tell the peers when an endpoint has crashed.
+        Called with the crash count to send to peers when an endpoint has crashed.
     """
 
     def __init__(
@@ -73,23 +74,23 @@
         self._list_endpoints = list_endpoints
         self._owners = owners
         self._zone = zone
-        self._known: set[str] = set()
+        self._known_names: set[str] = set()
         self.placement = LoadBalancer(load_factor)
         self.health = Health()
         self.poison = PoisonTracker()
         self.tell_crash: Callable[[CrashCount], None] = lambda count: None
 
     def update_endpoints(self, now_s: float) -> None:
-        """Take note of endpoints that have joined or left."""
+        """Update health tracking for endpoints that have joined or left."""
         names = {endpoint.name for endpoint in self._list_endpoints()}
-        for name in names - self._known:
+        for name in names - self._known_names:
             self.health.observe_present(name, now_s)
-        for name in self._known - names:
+        for name in self._known_names - names:
             self.health.observe_absent(name, now_s)
-        self._known = names
+        self._known_names = names
 
     def list_candidates(self, call: Call) -> list[Endpoint]:
-        """Return the live endpoints that serve what the call asks for."""
+        """Return the live endpoints that serve the call's model or service."""
         return [
             endpoint
             for endpoint in self._list_endpoints()
@@ -99,7 +100,7 @@
         ]
 
     def count_free(self, call: Call, now_s: float) -> int:
-        """Return how many more calls the pool can take."""
+        """Return the number of free slots in the pool of a call."""
         allowed = self._list_allowed(call, now_s)
         names = [endpoint.name for endpoint in allowed]
         loads = self.placement.loads.estimate(names, now_s)
@@ -111,7 +112,7 @@
     async def place(
         self, call: Call, avoid: Collection[str], now_s: float
     ) -> PlacementResult | None:
-        """Return where the call should go, or None if no endpoint can take it.
+        """Select an endpoint, with a reservation if needed; None if all are full.
 
         Raises
         ------
@@ -124,7 +125,7 @@
             choice = self._choose(call, allowed, refused, now_s)
             if choice is None:
                 break
-            if not self._needs_owner(choice, len(allowed)):
+            if not self._needs_reservation(choice, len(allowed)):
                 return PlacementResult(
                     choice.endpoint, choice.reason, choice.runners_up
                 )
@@ -134,14 +135,15 @@
             refused.add(choice.endpoint.name)
         if refused == set(avoid):
             return None
-        # All that were asked refused, by means that lag behind a burst.
-        last = self._choose_emptiest(allowed, avoid, now_s)
+        # All owners that were asked refused, based on mean loads that lag behind a
+        # burst.
+        last = self._choose_least_loaded(allowed, avoid, now_s)
         return await self._reserve(call, last, now_s, is_last=True) if last else None
 
     def choose(
         self, call: Call, avoid: Collection[str], now_s: float
     ) -> PlacementResult | None:
-        """Return where the call would go by this router's estimate; for queries.
+        """Select an endpoint by this router's load estimates, without a reservation.
 
         Raises
         ------
@@ -155,15 +157,15 @@
         return PlacementResult(choice.endpoint, choice.reason, choice.runners_up)
 
     def is_servable(self, call: Call, avoid: Collection[str], now_s: float) -> bool:
-        """Return whether an endpoint, free or full, may take the call.
+        """Return whether any endpoint, free or full, may run the call.
 
-        An ejected one may not.  A call that failed at all others would otherwise wait
-        for it until its deadline, while its caller could have come back by then.
+        Ejected endpoints may not.  A call that failed on all others would otherwise
+        wait for one until its deadline, when its caller could have retried earlier.
         """
         return any(e.name not in avoid for e in self._list_allowed(call, now_s))
 
     def release(self, placed: PlacementResult) -> None:
-        """End the reservation of a call, whose attempts are over."""
+        """End the reservation of a call after its attempt."""
         if self._owners is not None and placed.ticket != UNCOUNTED:
             self._owners.release(placed.ticket)
 
@@ -179,29 +181,31 @@
         names = [endpoint.name for endpoint in allowed]
         shares = self.health.find_slow_start_shares(names, now_s)
         request = _make_request(call, self._zone)
-        suspected = self.poison.find_endpoints_to_avoid(fingerprint, now_s).union(
-            refused
-        )
-        choice = self.placement.choose(request, allowed, now_s, shares, suspected)
+        avoided = self.poison.find_endpoints_to_avoid(fingerprint, now_s).union(refused)
+        choice = self.placement.choose(request, allowed, now_s, shares, avoided)
         if choice is not None:
             return choice
-        # A suspect that nobody can take apart from others still has to run: with one
-        # engine left it would otherwise be refused for that engine's own crash.
+        # A suspect must still run if it can't be isolated from other calls: with one
+        # engine left, it would otherwise be refused because of that engine's crash.
         return self.placement.choose(request, allowed, now_s, shares, refused)
 
-    def _choose_emptiest(
+    def _choose_least_loaded(
         self, allowed: list[Endpoint], avoid: Collection[str], now_s: float
     ) -> EndpointChoice | None:
         names = [endpoint.name for endpoint in allowed]
         loads = self.placement.loads.estimate(names, now_s)
-        open_ones = [
+        with_free_slots = [
             (load, endpoint.name, endpoint)
             for load, endpoint in zip(loads, allowed, strict=True)
             if endpoint.name not in avoid and load < endpoint.slots
         ]
-        return EndpointChoice(min(open_ones)[2], "emptiest") if open_ones else None
+        return (
+            EndpointChoice(min(with_free_slots)[2], "emptiest")
+            if with_free_slots
+            else None
+        )
 
-    def _needs_owner(self, choice: EndpointChoice, pool_size: int) -> bool:
+    def _needs_reservation(self, choice: EndpointChoice, pool_size: int) -> bool:
         is_engine = choice.endpoint.kind == "engine"
         return (
             self._owners is not None and is_engine and must_reserve(choice, pool_size)
@@ -212,13 +216,13 @@
     ) -> PlacementResult | None:
         assert self._owners is not None
         name = choice.endpoint.name
-        # The call counts while the owner is asked.  Otherwise its slot would be taken
-        # for free and the next call admitted to it.
+        # The call counts as running while the owner is asked.  Otherwise its slot would
+        # appear free and the next call would be admitted to it.
         self.placement.loads.start(name, now_s)
-        lapses_s = max(0.0, call.deadline_s - now_s)
+        expires_in_s = max(0.0, call.deadline_s - now_s)
         try:
             grant, ticket = await self._owners.reserve(
-                choice.endpoint, lapses_s, is_last
+                choice.endpoint, expires_in_s, is_last
             )
         finally:
             self.placement.loads.finish(name, now_s)
@@ -232,7 +236,7 @@
         )
 
     def start(self, call: Call, endpoint: Endpoint, now_s: float) -> None:
-        """Count a call as running."""
+        """Count a call as running on an endpoint."""
         request = _make_request(call, self._zone)
         self.placement.start(endpoint.name, request, now_s)
         fingerprint = shorten_fingerprint(call.fingerprint)
@@ -246,20 +250,20 @@
         first_byte_s: float | None,
         now_s: float,
     ) -> None:
-        """Count a call as over.
+        """Count a call as ended and record its outcome.
 
         Parameters
         ----------
         call : Call
             The call.
         endpoint : Endpoint
-            Where it ran.
+            The endpoint that ran it.
         outcome : {"answered", "refused", "not_sent", "cut", "cancelled"}
-            How it went; ``"refused"`` is an answer with a status of 500 or above.
+            Outcome of the attempt; ``"refused"`` is a response status of at least 500.
         first_byte_s : float or None
-            Time from sending to the first byte of the answer.
+            Time from sending to the first byte of the response.
         now_s : float
-            Present time.
+            Current time.
         """
         self.placement.finish(endpoint.name, now_s)
         fingerprint = shorten_fingerprint(call.fingerprint)
@@ -267,12 +271,12 @@
         if outcome == "cancelled":
             return
         if outcome == "cut" and now_s < call.deadline_s - DEADLINE_SLACK_S:
-            self._take_crash(fingerprint, endpoint.name, now_s)
+            self._record_crash(fingerprint, endpoint.name, now_s)
             return
         if outcome == "answered":
             self.poison.observe_success(fingerprint)
-        # The first byte of a whole answer comes when all of it has been generated;
-        # a pool's times would then tell the length of answers, not a slow endpoint.
+        # Without streaming, the first byte arrives only after the whole response has
+        # been generated, so it would measure response length, not endpoint latency.
         is_timed = call.stream or call.kind == "service"
         pool = [candidate.name for candidate in self.list_candidates(call)]
         is_ejected = self.health.observe_answer(
@@ -288,7 +292,7 @@
     def observe_probe(
         self, endpoint: Endpoint, is_ok: bool, first_byte_s: float | None, now_s: float
     ) -> None:
-        """Take the result of a probe of an ejected endpoint."""
+        """Record the result of probing an ejected endpoint."""
         pool = [
             other.name
             for other in self._list_endpoints()
@@ -298,7 +302,7 @@
             log_event(ENDPOINT_RETURNED, endpoint=endpoint.name)
 
     def describe(self) -> list[dict[str, object]]:
-        """Return each endpoint with what runs on it, for queries."""
+        """Return all endpoints with their running calls, for the status page."""
         return [
             {
                 **endpoint._asdict(),
@@ -313,7 +317,7 @@
         allowed = set(self.health.find_allowed(names, now_s))
         return [endpoint for endpoint in candidates if endpoint.name in allowed]
 
-    def _take_crash(self, fingerprint: int, endpoint: str, now_s: float) -> None:
+    def _record_crash(self, fingerprint: int, endpoint: str, now_s: float) -> None:
         self.health.observe_crash(endpoint, now_s)
         if not self.poison.observe_crash(fingerprint, endpoint, now_s):
             return
--- a/src/tamarackrill/router/probing.py
+++ b/src/tamarackrill/router/probing.py
@@ -1,4 +1,4 @@
-"""Probes ejected endpoints, one at a time and within the budget of `Health`."""
+"""Probes ejected endpoints, one at a time and within the probe budget of `Health`."""
 
 import asyncio
 import json
@@ -14,29 +14,29 @@
     UpstreamFailed,
 )
 
-LOOK_EVERY_S = 0.25
-# Longer than the aim for a first token by as much as an endpoint may be slow and
-# still be told from one that is gone.
+POLL_INTERVAL_S = 0.25
+# Exceeds the target time to first token by enough to distinguish a slow endpoint from
+# one that is gone.
 PROBE_TIMEOUT_S = 2.0
 SERVICE_PROBE_PATH = "/healthz"
 SERVER_ERROR = 500
 
 
 class Prober:
-    """Sends probes, until cancelled.
+    """Sends health probes to ejected endpoints.
 
     Parameters
     ----------
     client : CurlAsyncHTTPClient
         Not owned.
     placer : Placer
-        Says which endpoint is due, and takes the result.
+        Its health state selects the endpoint, and it receives the result.
     list_endpoints : callable
-        Returns all endpoints known now.
+        Returns all known endpoints.
     on_result : callable
-        Called with each probed endpoint, since it may have room for waiting calls.
+        Called with each probed endpoint, which may have slots for waiting calls.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -54,9 +54,9 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Probe what is due, until cancelled."""
+        """Probe endpoints that are due, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_EVERY_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             name = self._placer.health.next_probe(self._clock())
             for endpoint in self._list_endpoints():
                 if endpoint.name == name:
@@ -65,7 +65,7 @@
     async def _probe(self, endpoint: Endpoint) -> None:
         sent_s = self._clock()
         try:
-            status = await self._ask(endpoint)
+            status = await self._send_probe(endpoint)
         except UpstreamFailed:
             status = 0
         now_s = self._clock()
@@ -75,10 +75,10 @@
         self._placer.observe_probe(endpoint, is_ok, first_byte_s, now_s)
         self._on_result(endpoint)
 
-    async def _ask(self, endpoint: Endpoint) -> int:
+    async def _send_probe(self, endpoint: Endpoint) -> int:
         method, path, body = "GET", SERVICE_PROBE_PATH, b""
         if endpoint.kind == "engine":
-            method, path, body = "POST", CHAT_PATH, _make_body(endpoint.serves[0])
+            method, path, body = "POST", CHAT_PATH, _make_probe_body(endpoint.serves[0])
         url = f"http://{endpoint.address}{path}"
         exchange = Exchange(
             self._client, method, url, {}, body, PROBE_TIMEOUT_S, repeatable=True
@@ -89,7 +89,7 @@
             await exchange.close()
 
 
-def _make_body(model: str) -> bytes:
-    """Return the shortest request that makes an engine compute a token."""
+def _make_probe_body(model: str) -> bytes:
+    """Return the smallest request that makes an engine generate a token."""
     messages = [{"role": "user", "content": "probe"}]
     return json.dumps({"model": model, "messages": messages, "max_tokens": 1}).encode()
