--- a/tests/test_admitting.py
+++ b/tests/test_admitting.py
@@ -1,4 +1,4 @@
-"""Admission in the daemon, with a router, an engine and callers as processes."""
+"""Admission control in the daemon, with routers and engines as processes."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def full_fleet():
-    """A router with room for two waiting calls; its only slot is taken."""
+    """A router with a queue of two calls and an engine whose only slot is busy."""
     with FleetProcesses() as fleet, ThreadPoolExecutor(8) as callers:
         for team in TEAMS:
             hashes = [hash_key(team)]
@@ -22,7 +22,7 @@
         router = fleet.add_router("router-1", "zone-a", "--queue-max=2")
         fleet.wait_ready()
         wait_for(lambda: router.status()["endpoints"], "the engine at the router")
-        # One answer teaches the router how fast the engine is.
+        # The first response gives the router an estimate of the engine's speed.
         assert ask(router, "quiet", 100).status == 200
         engine.set_faults(hold=True)
         callers.submit(ask, router, "hot", 10)
@@ -43,9 +43,11 @@
     )
 
 
-def test_answer_that_cannot_be_in_time_is_refused_while_the_engine_is_busy(full_fleet):
-    # The only slot is taken and the answer would need many times its deadline.
-    # Without the estimate the caller learns it when the deadline has passed.
+def test_call_that_would_miss_its_deadline_is_refused_while_the_engine_is_busy(
+    full_fleet,
+):
+    # The only slot is busy, and the response would take many times the deadline.
+    # Without an estimate the caller would only find out when the deadline has passed.
     router, engine, _ = full_fleet
     answer = ask(router, "quiet", 100_000)
     assert answer.status == 503
@@ -55,9 +57,9 @@
     assert len(engine.look()["arrivals"]) == 2
 
 
-def test_full_queue_makes_room_for_a_quiet_team(full_fleet):
-    # One team has filled the queue.  Another team's first call gets a place, and
-    # the last one of the first team is told so at once.
+def test_full_queue_drops_a_call_of_the_busy_team_for_a_quiet_team(full_fleet):
+    # One team has filled the queue.  The first call of another team must be queued,
+    # and the last call of the first team refused immediately.
     router, engine, callers = full_fleet
     hot = [callers.submit(ask, router, "hot", 10) for _ in range(2)]
     wait_queued(router, 2)
@@ -70,9 +72,9 @@
     assert sorted(future.result().status for future in hot) == [200, 503]
 
 
-def test_caller_that_goes_away_leaves_the_queue(full_fleet):
-    # A caller hangs up while its call waits.  Were the call kept, it would take a
-    # slot for an answer that nobody reads, and one of the places in the queue.
+def test_call_leaves_the_queue_when_its_caller_disconnects(full_fleet):
+    # A caller disconnects while its call waits.  If the call stayed queued, it would
+    # take up queue space, and later a slot for a response that nobody reads.
     router, engine, callers = full_fleet
     gone = callers.submit(
         call,
@@ -88,15 +90,17 @@
     assert len(engine.look()["arrivals"]) == 2
 
 
-def test_burst_through_all_routers_waits_for_the_one_engine():
-    # Callers come at once through three routers, and the engine has room for some of
-    # them.  The others have time to wait; before the routers queued a call that the
-    # engine's owner refused, they were told that no endpoint could take it.
+def test_burst_through_all_routers_queues_for_the_only_engine():
+    # Callers arrive at once through three routers, more than the engine has slots for.
+    # The rest can wait.  If routers did not queue a call that the engine's owner
+    # refused, these callers would get `no_endpoint`.
     with FleetProcesses() as fleet, ThreadPoolExecutor(24) as callers:
         hashes = [hash_key("hot")]
         fleet.put_contract({"team": "hot", "key_hashes": hashes, "models": ["m"]})
         fleet.add_engine("engine-1", "m", "--slots=4")
         routers = [fleet.add_router(name) for name in "abc"]
         fleet.wait_ready()
-        told = callers.map(lambda number: ask(routers[number % 3], "hot", 4), range(24))
-        assert {answer.status for answer in told} == {200}
+        answers = callers.map(
+            lambda number: ask(routers[number % 3], "hot", 4), range(24)
+        )
+        assert {answer.status for answer in answers} == {200}
--- a/tests/test_at_most_once.py
+++ b/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Bookings through separate processes that are killed, frozen and cut off."""
+"""At-most-once execution of bookings while processes are killed, frozen or cut off."""
 
 import itertools
 import signal
@@ -24,7 +24,7 @@
 
 
 class Desk:
-    """Callers of a fleet; checks what each was told against what arrived."""
+    """Sends bookings, and checks the responses against what the service received."""
 
     def __init__(self, fleet, routers):
         self.fleet = fleet
@@ -34,7 +34,7 @@
         fleet.wait_ready()
         self.pool = ThreadPoolExecutor(32)
         self.numbers = itertools.count()
-        self.told = []
+        self.responses = []
 
     def send(self, router, key, path="/book", timeout_ms=TIMEOUT_MS, **headers):
         sending = f"sending-{next(self.numbers)}"
@@ -53,7 +53,7 @@
         except OSError:
             return 0, "connection lost", "unknown"
         body = answer.json()
-        self.told.append((sending, answer.status, body))
+        self.responses.append((sending, answer.status, body))
         return answer.status, body.get("code"), body.get("run")
 
     def look(self):
@@ -84,23 +84,25 @@
                 return f"chat-{number}"
         raise AssertionError
 
-    def forget(self, router):
-        """Take a router off the VM list and wait until the others know."""
+    def remove(self, router):
+        """Remove a router from the VM list and wait until the others have noticed."""
         self.routers.remove(router)
         del self.fleet.routers[router.name]
         self.fleet.publish_vms()
         names = {other.name for other in self.routers}
-        wait_for(lambda: all(self._sees(r) == names for r in self.routers), "it left")
+        wait_for(
+            lambda: all(self._list_members(r) == names for r in self.routers), "it left"
+        )
 
     @staticmethod
-    def _sees(router):
+    def _list_members(router):
         return {member["name"] for member in router.status()["members"]}
 
     def check(self):
         state = self.look()
         assert max(state["arrivals"].values(), default=0) <= 1
         assert max(Counter(state["sendings"]).values(), default=0) <= 1
-        for sending, status, body in self.told:
+        for sending, status, body in self.responses:
             if status != 200 and body["run"] == "not_run":
                 assert sending not in state["sendings"], body
 
@@ -119,10 +121,12 @@
     desks[0].pool.shutdown()
 
 
-def test_all_routers_at_once_run_a_booking_once_and_answer_all(open_desk):
-    # A caller's connection flaps and it sends a booking through every router at once;
-    # by the place in another chat most of them choose another home.  The family must be
-    # billed once, and each sending must get the whole answer.
+def test_all_routers_at_once_run_a_booking_once_and_answer_all(
+    open_desk,
+):
+    # A caller whose connection flaps sends a booking through every router at once.  The
+    # resends name different chats, so most have another home router.  The booking must
+    # run once, and each resend must get the whole response.
     desk = open_desk("a", "b", "c")
     desk.service.set_faults(hold=True)
     chats = [{}, *({"Chat_Id": f"c-{n}", "Chat_Sequence": "1"} for n in range(3))]
@@ -135,16 +139,15 @@
     wait_for(lambda: desk.count_open() >= len(sent), "all sendings are in")
     desk.service.set_faults()
     assert {future.result() for future in sent} == {(200, None, None)}
-    bodies = [body for _, _, body in desk.told]
+    bodies = [body for _, _, body in desk.responses]
     assert all(body == bodies[0] for body in bodies)
     assert desk.count("quote-1") == 1
 
 
-def test_resend_in_a_chat_gets_the_answer_that_another_home_holds(open_desk):
-    # A caller books without a chat and sends the booking again in one, whose home has
-    # to ask the router that runs it.  Once that has answered, the caller, whose
-    # connection flapped, sends it in the chat a third time.  It would be told that a
-    # later request of the chat has run, though the family's confirmation is there.
+def test_resend_in_a_chat_gets_the_response_held_by_another_router(open_desk):
+    # A caller books without a chat and resends the booking in a chat, whose home router
+    # has to fetch the response from the router that ran it.  A third send, again in the
+    # chat, must not be refused with `sequence_passed` although the response exists.
     desk = open_desk("a", "b")
     holder, other = desk.routers
     key, chat = desk.find_key(holder), desk.find_chat(other)
@@ -163,8 +166,8 @@
 def test_router_that_stops_at_any_step_does_not_double_a_booking(
     open_desk, moment, end
 ):
-    # The router that has a booking in hand is killed or frozen.  The caller sends it
-    # again through another router, and a frozen one wakes up with its old decision.
+    # The router that processes a booking is killed or frozen.  The caller resends the
+    # booking through another router, and the frozen one resumes with its old decision.
     desk = open_desk("a", "b")
     stopped, other = desk.routers
     key = desk.find_key(stopped)
@@ -182,7 +185,7 @@
     else:
         stopped.send(signal.SIGSTOP)
     desk.fleet.platform.set_faults()
-    desk.forget(stopped)
+    desk.remove(stopped)
     again = desk.send(other, key).result()
     if moment == "before claim":
         assert again == (200, None, None)
@@ -193,8 +196,8 @@
     if end == "freeze":
         stopped.send(signal.SIGCONT)
         told = first.result()
-        # The others take a frozen router off only after suspicion, which outlasts
-        # the time that it allows itself for a claim; then it must not send.
+        # The others remove a frozen router only after the suspicion timeout, which is
+        # longer than the claim timeout; by then it must not send.
         too_late = (503, "claim_timeout", "not_run")
         allowed = [(200, None, None)] + [too_late] * (moment != "during answer")
         assert told in allowed
@@ -203,8 +206,8 @@
 
 
 def test_router_frozen_past_the_deadline_does_not_send(open_desk):
-    # A router is frozen between claim and send and wakes when the caller has long
-    # given up.  The booking would be made after the client was told that it failed.
+    # A router is frozen between claim and send, and resumes after the deadline.  The
+    # booking would be made after the client was told that it failed.
     desk = open_desk("a", "b")
     frozen, _ = desk.routers
     key = desk.find_key(frozen)
@@ -213,7 +216,7 @@
     deadline_s = time.monotonic() + 1.5
     wait_for(desk.count_claims, "the claim stands")
     frozen.send(signal.SIGSTOP)
-    desk.forget(frozen)
+    desk.remove(frozen)
     wait_for(lambda: time.monotonic() > deadline_s, "the deadline has passed")
     frozen.send(signal.SIGCONT)
     assert first.result()[2] == "not_run"
@@ -222,9 +225,9 @@
 
 @pytest.mark.parametrize("routers", ["ab", "abc"], ids=["two", "three"])
 def test_call_handed_to_a_frozen_home_is_never_said_not_to_have_run(open_desk, routers):
-    # The home is frozen while the service works.  The entry router gives it up at the
-    # deadline and tries the next home, which knows nothing of the call; told "not run",
-    # the client would book again under another key.
+    # The home router is frozen while the service runs the booking.  The entry router
+    # times out and tries the next home, which does not know the call.  If the client
+    # were told "not_run", it would book again with another key.
     desk = open_desk(*routers)
     home = desk.routers[0]
     key = desk.find_key(home)
@@ -243,8 +246,8 @@
     ids=str,
 )
 def test_writes_and_reads_that_go_wrong_do_not_double_a_booking(open_desk, faults):
-    # The platform takes a claim and its answer is lost, or reads are old.  A router
-    # that assumed either way would run the booking twice or not at all.
+    # The response to a claim write or the write itself is lost, or reads are stale.  A
+    # router that guessed the outcome would run the booking twice or not at all.
     desk = open_desk("a", "b")
     desk.fleet.platform.set_faults(**faults)
     chats = [{}, *({"Chat_Id": f"c-{n}", "Chat_Sequence": "1"} for n in range(3))]
@@ -254,8 +257,8 @@
 
 
 def test_outage_refuses_a_booking_at_once_and_it_runs_afterwards(open_desk):
-    # The platform is down.  A booking that nothing can be claimed for must be refused
-    # truthfully, and the same key must go through once the platform is back.
+    # The platform is down.  A booking that can't be claimed must be refused as
+    # "not_run", and the same key must succeed once the platform is back.
     desk = open_desk("a")
     (router,) = desk.routers
     desk.fleet.platform.set_faults(outage=True)
@@ -269,8 +272,8 @@
 
 
 def test_service_that_closes_a_reused_connection_sees_a_booking_once(open_desk):
-    # libcurl by itself sends a request again when a reused connection closes before
-    # any byte of the answer.  The service would make the booking twice.
+    # By default libcurl resends a request if a reused connection closes before any byte
+    # of the response.  The service would make the booking twice.
     desk = open_desk("a")
     (router,) = desk.routers
     for number in range(3):
@@ -282,9 +285,9 @@
     assert desk.count("k") == 1
 
 
-def test_chat_runs_in_the_order_asked_through_all_routers(open_desk):
-    # A caller sends six requests of a chat at once, each through another router, and
-    # the last comes first.  The cook would read the answer before the question.
+def test_chat_runs_in_sequence_order_through_all_routers(open_desk):
+    # A caller sends six requests of a chat at once through different routers, and they
+    # arrive in reverse order.  They must run in order of their sequence numbers.
     desk = open_desk("a", "b", "c")
 
     def send(number):
--- a/tests/test_limiting.py
+++ b/tests/test_limiting.py
@@ -1,4 +1,4 @@
-"""Limits of contracts in the daemon, with a router and an engine as processes."""
+"""Contract limits in the daemon, with routers and an engine as processes."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("limit", LIMITS)
 def test_call_over_a_limit_is_refused_before_it_reaches_an_engine(fleet, limit):
     # A team sends three calls where its contract allows two.  Without the limit all
-    # three would run, and other teams wait for a team that pays for less.
+    # three would run, and other teams would wait for a team that exceeds its contract.
     fleet.engine.set_faults(hold=True)
     before = len(fleet.engine.look()["arrivals"])
     with ThreadPoolExecutor(2) as callers:
@@ -55,8 +55,8 @@
 
 
 def test_limit_holds_over_two_routers():
-    # A team has as many calls at one router as its contract allows, and sends more to
-    # another.  If they did not tell each other, it would get its contract twice.
+    # A team uses up its limit over two routers and sends one more call.  If the routers
+    # did not exchange usage, the team would get the limit of its contract twice.
     contract = {"team": "t", "key_hashes": [hash_key("t")], "models": ["m"]}
     with FleetProcesses() as fleet:
         fleet.put_contract({**contract, "in_flight_max": 5})
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -17,10 +17,10 @@
     assert 'tamarackrill_endpoints{label="live"} 1\n' in metrics.format_text()
 
 
-def test_on_call_engineer_finds_what_a_router_believes():
-    # Users complain of refusals, and all that the engineer has is the metrics address:
-    # it has to tell which manifest is in force, which endpoints are known and out of
-    # reach, how fresh that is, and what the store and the other routers cost.
+def test_metrics_show_the_state_that_a_router_acts_on():
+    # Users report refusals, and the engineer has only the metrics page.  It must show
+    # which manifest is in force, which endpoints are known and which are unreachable,
+    # how old that information is, and how much traffic the store and peers cause.
     async def run():
         async with EdgeFleet() as fleet:
             route = make_route("/s/", "streaming", stream_resume=True)
@@ -54,17 +54,16 @@
     assert 'token_gap_seconds{label="engine",quantile="0.95"}' in shown
 
 
-def test_on_call_engineer_finds_why_a_manifest_came_late(monkeypatch):
-    # A key was taken away, and a router went on serving it for seconds.  From its log
-    # it has to be told apart whether the store was slow, the router's link was full, or
-    # its process got no time: how long the answer took to begin and to end, and how
-    # many bytes it had.
+def test_log_shows_why_a_manifest_arrived_late(monkeypatch):
+    # A key was revoked, and a router kept serving it for seconds.  Its log must show
+    # whether the store was slow, the router's link was saturated, or its process got no
+    # CPU time: time to first byte, total duration and size of each response.
     lines = []
 
     def record(event, **fields):
         lines.append((event, fields))
 
-    # Another test of the same process may have sent the log elsewhere.
+    # Another test in the same process may have redirected the log.
     monkeypatch.setattr(edge_app, "log_event", record)
 
     async def run():
@@ -79,7 +78,7 @@
 
     asyncio.run(run())
     calls = [fields for event, fields in lines if event == STORE_CALL_ENDED]
-    # Each call has a line; that of the long manifest is the only long one.
+    # Each store call is logged; only the large manifest has a large response.
     assert {fields["path"].partition("?")[0] for fields in calls} == {
         "/objects/config",
         "/objects/servers",
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -15,7 +15,7 @@
     return {"team": "t", "key_hashes": hashes, "models": list(models)}
 
 
-def _lose_a_renewal(fleet):
+def _lose_renewal_response(fleet):
     fleet.platform.set_faults(lose_answers=1)
     writes = fleet.platform.look("counts")["write"]
     wait_for(lambda: fleet.platform.look("counts")["write"] > writes, "a renewal")
@@ -23,11 +23,13 @@
 
 @pytest.mark.parametrize("is_renewal_lost", [False, True])
 @pytest.mark.parametrize("ignores_numbers", [False, True])
-def test_paused_holder_gives_no_order_when_it_wakes(ignores_numbers, is_renewal_lost):
-    # The router that orders engines is frozen; its lease lapses and another router
-    # takes over.  When it wakes it still believes that it holds the lease.  Were it
-    # to order then, an engine that ignores fencing numbers would undo what the
-    # successor ordered, and callers of that model would be refused.
+def test_frozen_lease_holder_sends_no_order_when_it_resumes(
+    ignores_numbers, is_renewal_lost
+):
+    # The lease holder is frozen, its lease expires and another router takes over.  When
+    # it resumes, it still believes that it holds the lease.  If it sent an order, an
+    # engine that ignores fencing numbers would undo the successor's order, and callers
+    # of that model would be refused.
     with FleetProcesses() as fleet:
         engine = fleet.add_engine("engine-1", "m", "--models-max=9")
         engine.set_faults(ignore_fencing=ignores_numbers)
@@ -38,7 +40,7 @@
         )
         holder.wait_line(" order_given ")
         if is_renewal_lost:
-            _lose_a_renewal(fleet)
+            _lose_renewal_response(fleet)
         holder.send(signal.SIGSTOP)
         fleet.platform.set_faults()
         del fleet.routers[holder.name]
@@ -46,8 +48,8 @@
         fleet.put_contract(_contract("m", "first", "second"))
         assert "model=second" in successor.wait_line(" order_given ")
         holder.send(signal.SIGCONT)
-        # Awake, it tries to renew and meets the successor's version.  If the answer to
-        # its last renewal was lost before it froze, it reads without trying.
+        # It now tries to renew and gets a version conflict with the successor's write.
+        # If the response to its last renewal was lost, it reads the lease first.
         holder.wait_line("fence=2 is_own=False")
         fleet.put_contract(_contract("m", "first", "second", "third"))
         wait_for(lambda: len(engine.look()["orders"]) == 3, "the third load")
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -27,14 +27,14 @@
         yield fleet
 
 
-def test_few_callers_wait_for_a_slow_engine(fleet):
-    # One engine of four takes half a second for each token, the others a thousandth.
-    # Without a comparison every fourth caller would wait for it, for as long as it is
-    # slow; here the first ones do, and then no more.
+def test_slow_engine_is_ejected_after_few_calls(fleet):
+    # One of four engines takes 0.5 s per token, the others 1 ms.  Without outlier
+    # detection every fourth caller would wait for it as long as it is slow; only the
+    # first few callers may.
     slow = fleet.engines[2]
     router = fleet.routers["router-1"]
-    # Chats of one home, whose engines are always the same ones: that router first
-    # learns what is usual, and the engine becomes slow afterwards.
+    # All chats have the same home router, so that this router learns the usual latency
+    # before the engine becomes slow.
     names = (f"chat-{number}" for number in range(1000))
     routers = list(fleet.routers)
     chats = [n for n in names if rendezvous_order(f"t\n{n}", routers, 1) == routers[:1]]
@@ -45,16 +45,18 @@
         headers = {**KEY, "Chat-Id": chat}
         body = make_chat(f"order {number}", stream=True)
         assert b"[DONE]" in call(router.address, PATH, body, headers=headers).body
-    # Probes carry no identity; what a caller sent has one of 32 digits.
-    met = [name for name in set(slow.look()["arrivals"]) - before if len(name) == 32]
-    assert 0 < len(met) <= SAMPLES_MIN
+    # Probes have no request id; calls have one of 32 digits.
+    at_slow = [
+        name for name in set(slow.look()["arrivals"]) - before if len(name) == 32
+    ]
+    assert 0 < len(at_slow) <= SAMPLES_MIN
     router.wait_line(" endpoint_ejected endpoint=engine-2 ")
 
 
-def test_poison_request_takes_down_two_engines_and_no_third(fleet):
-    # A request kills each engine that runs it, and its caller sends it again, through
-    # either router.  Unless it is known again, all engines are down after two sends,
-    # and every other caller is refused.
+def test_poison_request_crashes_at_most_two_engines(fleet):
+    # A request crashes each engine that runs it, and its caller resends it through
+    # either router.  Unless it is recognized, two sends take down all engines, and all
+    # other callers are refused.
     poison = make_chat(f"a pattern {CRASH_WORD}")
     headers = {**KEY, "Chat-Id": "c"}
     for name in ("router-1", "router-2", "router-1"):
@@ -69,9 +71,9 @@
             assert call(router.address, PATH, body, headers=KEY).status == 200
 
 
-def test_poison_request_without_a_chat_is_known_at_the_other_router(fleet):
-    # The request belongs to no chat, so no home sees all of its sends.  A router that
-    # goes by its own count alone loses two engines to it, and the next one two more.
+def test_poison_request_without_a_chat_is_recognized_by_the_other_router(fleet):
+    # The request belongs to no chat, so no home router sees all resends.  If each
+    # router used only its own crash count, each would lose two engines to it.
     poison = make_chat(f"a pattern {CRASH_WORD}")
     for router in fleet.routers.values():
         answer = call(router.address, PATH, poison, headers=KEY)
--- a/tests/test_resends.py
+++ b/tests/test_resends.py
@@ -1,4 +1,4 @@
-"""Callers that send again while and after their request runs."""
+"""Callers that resend a request while it runs and afterwards."""
 
 import http.client
 import json
@@ -59,8 +59,8 @@
 
 
 def test_resends_through_all_routers_get_one_answer(fleet):
-    # A caller's link flaps and it sends a question through each router twice.  Run six
-    # times, it would get six different patterns and be charged for each.
+    # A caller whose connection flaps sends a request twice through each router.  If it
+    # ran six times, the caller would get six different responses and pay for each.
     headers = {**KEY, "Idempotency-Key": "k"}
 
     def ask(router):
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize("headers", [{"Idempotency-Key": "k"}, {"Chat-Sequence": "1"}])
-def test_key_or_place_of_another_request_is_refused(fleet, headers):
+def test_key_or_sequence_of_another_request_is_refused(fleet, headers):
     headers = {**KEY, "Chat-Id": "c", **headers}
     routers = list(fleet.routers.values())
     assert call(routers[0].address, PATH, make_chat(), headers=headers).status == 200
@@ -86,10 +86,10 @@
 
 
 @pytest.mark.parametrize("home_is", ["alive", "killed"])
-def test_cut_stream_goes_on_or_is_refused_and_is_never_mixed(fleet, home_is):
-    # A caller loses its connection after three events and asks for the rest through
-    # another router.  It must get the rest of the same answer; with the home gone it
-    # must hear so, since the words of a second run would not fit the first three.
+def test_cut_stream_is_resumed_or_refused_and_never_mixed(fleet, home_is):
+    # A caller loses its connection after three events and resumes the stream through
+    # another router.  It must get the rest of the same response.  If the home router is
+    # gone it must get an error, since a second run would generate different text.
     home, entry, other = list_homes(fleet, "c")
     headers = {"Idempotency_Key": "k", "Chat_Id": "c"}
     connection, response = open_stream(entry, 40, **headers)
@@ -112,8 +112,8 @@
 
 
 def test_answers_that_cross_reach_their_own_caller(fleet):
-    # Many callers ask at once through all routers and the answers come back in
-    # another order.  Each must get the answer to its own question.
+    # Many callers send requests at once through all routers, and the responses arrive
+    # in another order.  Each caller must get the response to its own request.
     routers = list(fleet.routers.values())
 
     def ask(number):
@@ -127,8 +127,8 @@
         assert all(pool.map(ask, range(48)))
 
 
-def test_kept_answer_is_forgotten_after_the_contracts_time(fleet):
-    # Kept for ever, answers would fill the router's memory.
+def test_cached_response_expires_after_the_contracts_time(fleet):
+    # Responses that never expire would fill the router's memory.
     fleet.put_contract({**CONTRACT, "answers_kept_s": 0.1})
     fleet.wait_ready()
     router = fleet.routers["a"]
--- a/tests/test_retrying.py
+++ b/tests/test_retrying.py
@@ -12,9 +12,9 @@
 @pytest.mark.parametrize(
     ("status", "arrivals_max"), [(500, CALLS + INITIAL_CREDIT), (503, CALLS)]
 )
-def test_failing_engines_get_hardly_more_than_their_callers_send(status, arrivals_max):
-    # Every engine fails what it is sent.  With two further tries for each call, the
-    # engines would get three times what they fail under already.
+def test_failing_engines_get_few_retries(status, arrivals_max):
+    # Every engine fails every call.  With two retries per call and no retry budget, the
+    # engines would get three times the load that they already fail under.
     with FleetProcesses() as fleet:
         fleet.put_contract(
             {"team": "t", "key_hashes": [hash_key("k")], "models": ["m"]}
@@ -31,9 +31,9 @@
         for _ in range(CALLS):
             answer = call(router.address, path, body, headers=headers)
             assert answer.status in (status, 502, 503)
-        # Probes carry no identity; what a caller sent has one of 32 digits.
-        met = [
+        # Probes have no request id; calls have one of 32 digits.
+        arrivals = [
             sum(n for name, n in engine.look()["arrivals"].items() if len(name) == 32)
             for engine in engines
         ]
-    assert 0 < sum(met) <= arrivals_max
+    assert 0 < sum(arrivals) <= arrivals_max
