--- a/src/tamarackrill/router/placing.py
+++ b/src/tamarackrill/router/placing.py
@@ -194,16 +194,12 @@
     ) -> EndpointChoice | None:
         names = [endpoint.name for endpoint in allowed]
         loads = self.placement.loads.estimate(names, now_s)
-        with_free_slots = [
+        available = [
             (load, endpoint.name, endpoint)
             for load, endpoint in zip(loads, allowed, strict=True)
             if endpoint.name not in avoid and load < endpoint.slots
         ]
-        return (
-            EndpointChoice(min(with_free_slots)[2], "emptiest")
-            if with_free_slots
-            else None
-        )
+        return EndpointChoice(min(available)[2], "emptiest") if available else None
 
     def _needs_reservation(self, choice: EndpointChoice, pool_size: int) -> bool:
         is_engine = choice.endpoint.kind == "engine"
