--- a/src/tamarackrill/router/callers.py
+++ b/src/tamarackrill/router/callers.py
@@ -8,11 +8,11 @@
 from tamarackrill.events import REQUEST_FORWARDED, log_event
 from tamarackrill.exceptions import Refusal
 from tamarackrill.router.calls import Call, authenticate, read_call
-from tamarackrill.router.claiming import HeldElsewhere
+from tamarackrill.router.claiming import ClaimHeldElsewhere
 from tamarackrill.router.forwarding import (
-    MAY_HAVE_RUN,
-    find_forwarded_id,
+    MAY_HAVE_RUN_HEADER,
     forward_call,
+    verify_forwarded_id,
 )
 from tamarackrill.router.front import (
     LEAVING_CODE,
@@ -85,7 +85,7 @@
         front = self._handler.front
         now_s = front.clock()
         if self._last_s is not None:
-            front.metrics.record_gap(now_s - self._last_s)
+            front.metrics.record_token_gap(now_s - self._last_s)
         self._last_s = now_s
 
 
@@ -106,7 +106,7 @@
         self._contract: Contract | None = None
         self._counted = False
         self._is_disconnected = False
-        self._may_have_run = MAY_HAVE_RUN in self.request.headers
+        self._may_have_run = MAY_HAVE_RUN_HEADER in self.request.headers
 
     def send_refusal(self, refusal: Refusal) -> None:
         """Answer with a refusal that also accounts for the routers tried before."""
@@ -178,7 +178,7 @@
         if self._contract is None:
             return
         call = self._read_call(self._contract)
-        forwarded_id = find_forwarded_id(
+        forwarded_id = verify_forwarded_id(
             self.request.headers, call.fingerprint, front.peer_keys
         )
         if forwarded_id:
@@ -262,12 +262,14 @@
             outlet = _CallerOutlet(self, call.stream)
             await reply.pump(outlet, call.last_event_id)
             outlet.finish()
-        except HeldElsewhere as held:
+        except ClaimHeldElsewhere as held:
             await self._forward_to_claim_holder(call, held)
         finally:
             self._detach_reply()
 
-    async def _forward_to_claim_holder(self, call: Call, held: HeldElsewhere) -> None:
+    async def _forward_to_claim_holder(
+        self, call: Call, held: ClaimHeldElsewhere
+    ) -> None:
         # While the routers' member lists differ, for some seconds, a resend can go to
         # another home router.  The router that holds the claim has the run or the
         # answer; otherwise the caller would get "unknown" for a booking that succeeded.
--- a/src/tamarackrill/router/edge_daemon.py
+++ b/src/tamarackrill/router/edge_daemon.py
@@ -13,17 +13,17 @@
 def _run(signals: Signals) -> None:
     # Imports are deferred: signal handlers are installed first, then the listener is
     # opened, and loading the remaining modules takes far longer than both.
-    from tamarackrill.router.binding import check_usable, report_unusable
+    from tamarackrill.router.binding import check_bindable, report_bind_error
     from tamarackrill.router.early_listener import open_listener
     from tamarackrill.router.edge_options import list_listen_addresses, read_options
 
     options = read_options()
-    if signals.stop_told_s is not None:
+    if signals.stop_requested_s is not None:
         return
-    check_usable(list_listen_addresses(options))
+    check_bindable(list_listen_addresses(options))
     settings = options.settings
     address = settings.callers_address
-    with report_unusable(settings.find_place("callers_address"), address):
+    with report_bind_error(settings.find_place("callers_address"), address):
         listener = open_listener(address)
 
     from tamarackrill.router.edge_process import run
--- a/src/tamarackrill/router/flow.py
+++ b/src/tamarackrill/router/flow.py
@@ -15,11 +15,11 @@
 from tamarackrill.router.admitting import Admitter
 from tamarackrill.router.attempts import Attempt, attempt_call
 from tamarackrill.router.calls import Call
-from tamarackrill.router.chats import Chats
+from tamarackrill.router.chats import ChatCoordinator
 from tamarackrill.router.claiming import Claimer
 from tamarackrill.router.limiting import Limiter
 from tamarackrill.router.metrics import Metrics
-from tamarackrill.router.placing import Placed, Placer
+from tamarackrill.router.placing import PlacementResult, Placer
 from tamarackrill.router.replies import Reply
 from tamarackrill.router.upstream import CurlAsyncHTTPClient
 
@@ -45,7 +45,7 @@
     def __init__(
         self,
         client: CurlAsyncHTTPClient,
-        chats: Chats,
+        chats: ChatCoordinator,
         claimer: Claimer,
         limiter: Limiter,
         admitter: Admitter,
@@ -87,7 +87,7 @@
             # join parts of two answers.
             message = "the answer is no longer kept; request it again from the start"
             raise Refusal("answer_gone", 409, message, "unknown")
-        reply = Reply(keep=self._chats.can_be_joined(call))
+        reply = Reply(keep=self._chats.can_recognize_resend(call))
         self._chats.register(call, reply, self._clock())
         task = asyncio.create_task(self._run(call, reply))
         self._runs.add(task)
@@ -117,8 +117,8 @@
             self._refuse(call, reply, Refusal("internal", 500, message, "unknown"))
             raise
         finally:
-            self._chats.close(call, reply, self._clock())
-            self._claimer.settle(call, reply)
+            self._chats.finish_call(call, reply, self._clock())
+            self._claimer.record_outcome(call, reply)
 
     def _refuse(self, call: Call, reply: Reply, refusal: Refusal) -> None:
         self._metrics.count_refusal(refusal.code)
@@ -171,7 +171,7 @@
         assert outcome in ("refused", "not_sent", "cut")
         decision = self._get_retry_budget(call).decide(
             Failure(outcome, call.idempotent, reply.started),
-            self._admitter.is_full(call),
+            self._admitter.has_waiting(call),
             call.deadline_s - self._clock(),
             self._admitter.estimate_service_s(call),
         )
@@ -181,7 +181,9 @@
     def _get_retry_budget(self, call: Call) -> RetryBudget:
         return self._budgets.setdefault(f"{call.kind}:{call.pool}", RetryBudget())
 
-    async def _resume_stream(self, call: Call, reply: Reply, placed: Placed) -> Attempt:
+    async def _resume_stream(
+        self, call: Call, reply: Reply, placed: PlacementResult
+    ) -> Attempt:
         # Only the engine that generates the stream can resume it.  Another engine
         # would generate a different text, which would not match what was sent.
         attempt = Attempt("cut", chunks=reply.count)
@@ -198,13 +200,13 @@
         avoid: list[str],
         is_last: bool,
         may_have_run: bool,
-    ) -> tuple[Placed, Attempt]:
+    ) -> tuple[PlacementResult, Attempt]:
         arrived_s = self._clock()
         reply.set_abandoned_callback(lambda: self._admitter.cancel(call))
         while True:
             await self._wait_for_admission(call, may_have_run)
             attempt = Attempt("not_sent")
-            placed: Placed | None = None
+            placed: PlacementResult | None = None
             try:
                 wait_s = self._clock() - arrived_s
                 placed = await self._place(call, avoid, wait_s, may_have_run)
@@ -214,7 +216,7 @@
             finally:
                 if placed is not None:
                     self._placer.release(placed)
-                self._admitter.leave(call, attempt, self._clock())
+                self._admitter.release_slot(call, attempt, self._clock())
             # Other routers have filled the endpoints, and their load reports had not
             # arrived when the call was admitted.  The call queues again until its
             # deadline; the delay avoids a busy loop until the loads are known.
@@ -225,7 +227,7 @@
 
     async def _wait_for_admission(self, call: Call, may_have_run: bool) -> None:
         try:
-            await self._admitter.enter(call, self._clock())
+            await self._admitter.acquire_slot(call, self._clock())
         except Refusal as refusal:
             # This attempt was not sent, but an earlier one may have run.
             refusal.run = "unknown" if may_have_run else refusal.run
@@ -233,7 +235,7 @@
 
     async def _place(
         self, call: Call, avoid: list[str], wait_s: float, may_have_run: bool
-    ) -> Placed | None:
+    ) -> PlacementResult | None:
         """Return the endpoint for the call, or None if all endpoints are full."""
         now_s = self._clock()
         # A router that was suspended while the call waited resumes with an outdated
@@ -250,7 +252,7 @@
         self._log_placed(call, placed, wait_s)
         return placed
 
-    def _log_placed(self, call: Call, placed: Placed, wait_s: float) -> None:
+    def _log_placed(self, call: Call, placed: PlacementResult, wait_s: float) -> None:
         log_event(
             REQUEST_ROUTED,
             team=call.team,
@@ -262,7 +264,7 @@
         )
 
     async def _attempt(
-        self, call: Call, reply: Reply, placed: Placed, is_last: bool
+        self, call: Call, reply: Reply, placed: PlacementResult, is_last: bool
     ) -> Attempt:
         endpoint: Endpoint = placed.endpoint
         self._claimer.check(call)
--- a/src/tamarackrill/router/paths.py
+++ b/src/tamarackrill/router/paths.py
@@ -6,7 +6,7 @@
 from tamarackrill.contracts import Endpoint
 from tamarackrill.decisions.reach import Reachability
 from tamarackrill.events import ENDPOINT_REACHED, ENDPOINT_UNREACHED, log_event
-from tamarackrill.router.background import log_failure
+from tamarackrill.router.background import log_task_failure
 from tamarackrill.router.channels import open_channel
 
 # Connecting within a region takes 3 ms.  A lost SYN is sent again only after 1 s, and
@@ -91,7 +91,7 @@
 
     def _end(self, name: str, task: asyncio.Task[None]) -> None:
         del self._probes[name]
-        log_failure(task)
+        log_task_failure(task)
 
     async def _probe(self, endpoint: Endpoint) -> None:
         try:
