--- a/src/tamarackrill/decisions/reading.py
+++ b/src/tamarackrill/decisions/reading.py
@@ -41,13 +41,13 @@
         """Record what another router holds."""
         self._peer_digest = digest
 
-    def has_news(self, own: ConfigurationDigest) -> bool:
+    def knows_newer_version(self, own: ConfigurationDigest) -> bool:
         """Return whether another router is known to hold something newer."""
         return self._peer_digest is not None and needs_changes(own, self._peer_digest)
 
     def must_list(self, own: ConfigurationDigest) -> bool:
         """Return whether to list next instead of watching."""
-        return self._is_behind or self.has_news(own)
+        return self._is_behind or self.knows_newer_version(own)
 
     def observe_list(self, is_changed: bool, size_bytes: int = 0) -> None:
         """Record that a list was read, whether it brought a change, and its size."""
--- a/src/tamarackrill/router/app.py
+++ b/src/tamarackrill/router/app.py
@@ -33,7 +33,7 @@
 from tamarackrill.router.binding import report_unusable
 from tamarackrill.router.chats import Chats
 from tamarackrill.router.claiming import Claimer
-from tamarackrill.router.configuring import KINDS, Configurer
+from tamarackrill.router.configuring import KINDS, ConfigurationSync
 from tamarackrill.router.datagrams import PeerSocket
 from tamarackrill.router.ending_server import EndingServer
 from tamarackrill.router.explaining import Question, explain
@@ -51,7 +51,7 @@
     list_handlers,
     pull_changes,
 )
-from tamarackrill.router.peer_news import PeerNews
+from tamarackrill.router.peer_news import CrashLoadExchange
 from tamarackrill.router.placing import Placer
 from tamarackrill.router.platform_client import PlatformClient
 from tamarackrill.router.probing import Prober
@@ -171,8 +171,8 @@
             settings.peer_keys,
             self.clock,
         )
-        self._peer_socket.handlers.append(self.owners.take_datagram)
-        self._peer_socket.handlers.append(self.limiter.take_datagram)
+        self._peer_socket.handlers.append(self.owners.handle_datagram)
+        self._peer_socket.handlers.append(self.limiter.handle_datagram)
 
     def _make_flow(self) -> None:
         self.chats = Chats(self.clock)
@@ -193,22 +193,22 @@
         )
 
     async def _start_configuration(self) -> None:
-        self.configurer = Configurer(
+        self.configuration_sync = ConfigurationSync(
             self.store, self.platform, self._take_objects, self._pull, self.clock
         )
-        await self.configurer.start()
+        await self.configuration_sync.start()
 
     async def _start_gossip(self) -> None:
         self.gossiper = self._make_gossiper()
-        news = PeerNews(
+        exchange = CrashLoadExchange(
             self.placer, self.owners, self.members, self.gossiper.report, self.clock
         )
-        self.gossiper.subscribe(self.configurer.hear_peer)
-        self.gossiper.subscribe(news.hear)
-        self.gossiper.add_source(news.collect)
-        self.placer.tell_crash = news.tell_crash
+        self.gossiper.subscribe(self.configuration_sync.observe_peer_state)
+        self.gossiper.subscribe(exchange.handle_peer_state)
+        self.gossiper.add_source(exchange.collect)
+        self.placer.tell_crash = exchange.tell_crash
         # The last of the handlers: it counts what none of them knows as a stranger's.
-        self._peer_socket.handlers.append(self.gossiper.take_datagram)
+        self._peer_socket.handlers.append(self.gossiper.handle_datagram)
         await self.gossiper.start()
 
     async def _start_orders(self) -> None:
@@ -301,7 +301,7 @@
         await self.claimer.stop()
         await self.orderer.stop()
         await self.gossiper.stop()
-        await self.configurer.stop()
+        await self.configuration_sync.stop()
         self._peer_socket.stop()
         close_client(self._endpoint_client)
         close_client(self._router_client)
@@ -372,7 +372,7 @@
             self._peer_socket.send,
             self.settings.peer_keys,
             self.members,
-            self.configurer.digest,
+            self.configuration_sync.digest,
             self.clock,
             self.settings.peers,
         )
--- a/src/tamarackrill/router/channels.py
+++ b/src/tamarackrill/router/channels.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from tamarackrill.router.sockets import probe_silence
+from tamarackrill.router.sockets import enable_keepalive
 
 Headers = list[tuple[str, str]]
 
@@ -64,7 +64,7 @@
         """Set up the socket."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        probe_silence(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         """Take bytes; those that nobody waits for spoil the connection."""
--- a/src/tamarackrill/router/configuring.py
+++ b/src/tamarackrill/router/configuring.py
@@ -54,7 +54,7 @@
 PullChanges = Callable[[str, str, int], Awaitable[ChangeSet]]
 
 
-class Configurer:
+class ConfigurationSync:
     """Watches the platform, and asks peers for what the watch did not bring.
 
     Parameters
@@ -73,7 +73,7 @@
         Kinds of objects that are followed.
     retry_max_s : float, optional
         Longest pause between two calls that fail.
-    read_directly : tuple of str, optional
+    large_kinds : tuple of str, optional
         Kinds whose changes may be too large to come from a peer, or to read more of
         them than the newest; the platform is asked if a peer doesn't send them soon.
     pause_s : float, optional
@@ -82,11 +82,11 @@
 
     Attributes
     ----------
-    on_store : callable
+    on_platform_state : callable
         Called with whether the platform is lost, at each outcome of a call.
     on_answer : callable
         Called with the kind that the platform has answered about, and as of when.
-    on_refused : callable
+    on_unavailable : callable
         Called with the kind that the platform has not answered about, and when.
     on_read : callable
         Called with a kind of which a change was read, and how long that took from the
@@ -97,8 +97,8 @@
     find_retry_s : callable
         ``find_retry_s(before_s)`` returns the pause after a call that failed, from the
         one before it.
-    find_rest_s : callable
-        ``find_rest_s(kind, now_s)`` returns for how long the platform need not be
+    find_poll_delay_s : callable
+        ``find_poll_delay_s(kind, now_s)`` returns for how long the platform need not be
         asked, since another router's evidence is fresh.
     """
 
@@ -111,7 +111,7 @@
         clock: Callable[[], float],
         kinds: tuple[str, ...] = KINDS,
         retry_max_s: float = RETRY_MAX_S,
-        read_directly: tuple[str, ...] = (),
+        large_kinds: tuple[str, ...] = (),
         pause_s: float = 0.0,
     ) -> None:
         self._pause_s = pause_s
@@ -119,12 +119,12 @@
         self.find_retry_s: Callable[[float], float] = lambda before_s: min(
             retry_max_s, max(RETRY_MIN_S, before_s * 2)
         )
-        self.on_store: Callable[[bool], None] = lambda is_lost: None
+        self.on_platform_state: Callable[[bool], None] = lambda is_lost: None
         self.on_answer: Callable[[str, float], None] = lambda kind, as_of_s: None
-        self.on_refused: Callable[[str, float], None] = lambda kind, now_s: None
+        self.on_unavailable: Callable[[str, float], None] = lambda kind, now_s: None
         self.on_read: Callable[[str, float], None] = lambda kind, read_s: None
         self.find_watch_s: Callable[[str], float | None] = lambda kind: None
-        self.find_rest_s: Callable[[str, float], float] = lambda kind, now_s: 0.0
+        self.find_poll_delay_s: Callable[[str, float], float] = lambda kind, now_s: 0.0
         self._wanted = {kind: asyncio.Event() for kind in kinds}
         self._store = store
         self._platform = platform
@@ -136,7 +136,7 @@
         # Who told last of what this router lacks.
         self._tellers: dict[str, PeerStateReceived] = {}
         self._behind_since_s: dict[str, float] = {}
-        self._readings = {kind: ReadPlanner() for kind in read_directly}
+        self._readings = {kind: ReadPlanner() for kind in large_kinds}
         # When the first byte came of the answers that are being read.
         self._begun_s: dict[str, float] = {}
         # Kinds that the platform has been asked for.
@@ -164,7 +164,7 @@
         """Return the digests of all kinds."""
         return tuple(self._store.digest(kind) for kind in self._kinds)
 
-    def hear_peer(self, heard: PeerStateReceived) -> None:
+    def observe_peer_state(self, heard: PeerStateReceived) -> None:
         """Ask a peer for what it holds and this router doesn't, if that lasts."""
         for digest in heard.configuration:
             if digest.kind not in self._kinds:
@@ -185,7 +185,7 @@
             if holds_nothing or self._lost or is_late:
                 self._start_pull(heard, digest.kind)
 
-    def hear_news(
+    def observe_evidence(
         self,
         sender: str,
         address: str,
@@ -209,10 +209,12 @@
         heard = PeerStateReceived(sender, address, (digest,), PiggybackedEntries())
         self._start_pull(heard, digest.kind)
 
-    def has_news(self, kind: str) -> bool:
+    def knows_newer_version(self, kind: str) -> bool:
         """Return whether another router is known to hold what this one doesn't yet."""
         reading = self._readings.get(kind)
-        return reading is not None and reading.has_news(self._store.digest(kind))
+        return reading is not None and reading.knows_newer_version(
+            self._store.digest(kind)
+        )
 
     def _note_news(self, digest: ConfigurationDigest) -> None:
         self._readings[digest.kind].observe_peer(digest)
@@ -242,10 +244,14 @@
         try:
             await asyncio.wait([pulling], timeout=HAND_ON_MAX_S)
             newest = self._tellers[kind]
-            if pulling.done() and newest is not heard and self.has_news(kind):
+            if (
+                pulling.done()
+                and newest is not heard
+                and self.knows_newer_version(kind)
+            ):
                 # Another change came meanwhile.
                 await self._pull_from(newest, kind)
-            if self.has_news(kind):
+            if self.knows_newer_version(kind):
                 self._wanted[kind].set()
             await pulling
         finally:
@@ -287,7 +293,7 @@
                 must_list = True
             except PlatformUnavailable as error:
                 self._report(lost=True, reason=error.message)
-                self.on_refused(kind, self._clock())
+                self.on_unavailable(kind, self._clock())
                 # After an outage a router that has the configuration asks what
                 # changed.  Were all to list everything at once, the platform, just
                 # back, would have to send 370 times a megabyte.  It asks without
@@ -315,11 +321,11 @@
         """Wait as long as others' evidence is enough; return whether that was so."""
         has_rested = False
         wanted = self._wanted[kind]
-        if not self.has_news(kind):
+        if not self.knows_newer_version(kind):
             # What was wanted has come with the answer before.
             wanted.clear()
         while not wanted.is_set() and self._store.get_complete(kind):
-            rest_s = self.find_rest_s(kind, self._clock())
+            rest_s = self.find_poll_delay_s(kind, self._clock())
             if rest_s <= 0.0:
                 break
             has_rested = True
@@ -341,8 +347,8 @@
         reading = self._readings.get(kind)
         max_bytes = None if reading is None else reading.watch_max_bytes
 
-        def ask(kind: str, on_begin: Callable[[], None]) -> Awaitable[Listing]:
-            return self._platform.watch(kind, since, wait_s, on_begin, max_bytes)
+        def ask(kind: str, on_first_byte: Callable[[], None]) -> Awaitable[Listing]:
+            return self._platform.watch(kind, since, wait_s, on_first_byte, max_bytes)
 
         await self._read(kind, ask, wait_s, whole=False)
 
@@ -408,7 +414,7 @@
             log_event(PLATFORM_BACK)
             self._back.set()
         self._lost = lost
-        self.on_store(lost)
+        self.on_platform_state(lost)
 
 
 def _to_changes(kind: str, listing: Listing, whole: bool) -> ChangeSet:
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -44,7 +44,7 @@
 from tamarackrill.platform.settings_file import PlatformSettings
 from tamarackrill.platform.store import STORE_FORM
 from tamarackrill.router.binding import report_unusable
-from tamarackrill.router.configuring import Configurer
+from tamarackrill.router.configuring import ConfigurationSync
 from tamarackrill.router.cut_off import CutOffWatch
 from tamarackrill.router.datagrams import PeerSocket
 from tamarackrill.router.deployment_view import DeploymentView, ObjectReaders
@@ -68,7 +68,7 @@
     StoreCall,
     StoreTiming,
 )
-from tamarackrill.router.store_news import StoreNews
+from tamarackrill.router.store_news import EvidenceExchange
 from tamarackrill.router.suspension import find_suspended_s
 from tamarackrill.router.upstream import close_client, make_client
 
@@ -192,7 +192,7 @@
         self._make_configurer()
         await self._start_gossip()
         self._add_gauges()
-        await self.configurer.start()
+        await self.configuration_sync.start()
         listener = listener or open_listener(settings.callers_address)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_NEWS_MAX_S):
@@ -269,7 +269,7 @@
                 watch_wait_s=WATCH_MAX_SHARE * news_max_s,
             ),
         )
-        self.configurer = Configurer(
+        self.configuration_sync = ConfigurationSync(
             self.store,
             platform,
             self._take_objects,
@@ -280,12 +280,12 @@
             (MANIFEST_KIND,),
             STORE_PAUSE_S,
         )
-        self.configurer.on_store = self._note_store
+        self.configuration_sync.on_platform_state = self._note_store
         self.server.is_outdated = self._is_outdated
         platform.on_call = self._note_store_call
 
     def _is_outdated(self) -> bool:
-        if self.configurer.has_news(MANIFEST_KIND):
+        if self.configuration_sync.knows_newer_version(MANIFEST_KIND):
             return True
         ages_s = self.store_news.find_ages_s(self.clock())
         return ages_s.get(MANIFEST_KIND, math.inf) > self.settings.news_max_s
@@ -352,7 +352,7 @@
         session = self._session
         own_address = self.members.own.peer_address
         seeds = tuple(s for s in self.settings.seeds if s != own_address)
-        self.store_news = StoreNews(
+        self.store_news = EvidenceExchange(
             WatchPolicy(
                 self.settings.name,
                 self.settings.zone,
@@ -362,7 +362,7 @@
                 (MANIFEST_KIND,),
             ),
             self.members,
-            self.configurer,
+            self.configuration_sync,
             self._peer_socket.send,
             self._peer_keys,
             session,
@@ -383,17 +383,17 @@
             self._peer_socket.send,
             self._peer_keys,
             self.members,
-            self.configurer.digest,
+            self.configuration_sync.digest,
             self.clock,
             seeds,
         )
-        self.gossiper.subscribe(self.configurer.hear_peer)
+        self.gossiper.subscribe(self.configuration_sync.observe_peer_state)
         self.gossiper.subscribe(self._hear_peer)
         self.gossiper.add_source(self._collect_entries)
         self.flow.attempts.tell_crash = self._tell_crash
-        self._peer_socket.handlers.append(self.store_news.take_datagram)
-        self._peer_socket.handlers.append(self.placement_teller.take_datagram)
-        self._peer_socket.handlers.append(self.gossiper.take_datagram)
+        self._peer_socket.handlers.append(self.store_news.handle_datagram)
+        self._peer_socket.handlers.append(self.placement_teller.handle_datagram)
+        self._peer_socket.handlers.append(self.gossiper.handle_datagram)
         await self.gossiper.start()
         await self.placement_teller.start()
 
@@ -427,11 +427,11 @@
                 # A kept connection stays with its router, whatever the balancer does.
                 self.server.sends_elsewhere = self.cut_off.is_cut_off
             self._fleet_size.observe(len(self.members.list_live()), self.clock())
-            self.store_news.take_members()
+            self.store_news.update_members()
             self._reporter_zones = {
                 hash_reporter(m.name): m.zone for m in self.members.list_live()
             }
-            self.store_news.keep_telling()
+            self.store_news.repeat_evidence()
             self._flush_log()
 
     def _note_lag(self, lag_s: float) -> None:
@@ -479,7 +479,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.placement_teller.stop()
         await self.gossiper.stop()
-        await self.configurer.stop()
+        await self.configuration_sync.stop()
         self._peer_socket.stop()
         await self.flow.attempts.paths.stop()
         self.flow.attempts.pool.close()
--- a/src/tamarackrill/router/gossip.py
+++ b/src/tamarackrill/router/gossip.py
@@ -114,7 +114,7 @@
             self.counts
         )
 
-    def take_datagram(self, datagram: bytes, source: str) -> bool:
+    def handle_datagram(self, datagram: bytes, source: str) -> bool:
         """Take a datagram; nothing is raised.
 
         It must be the last of the socket's handlers, as it counts what none knows as
--- a/src/tamarackrill/router/limiting.py
+++ b/src/tamarackrill/router/limiting.py
@@ -95,7 +95,7 @@
             for total in self._limits.list_fleet_usage(self._clock())
         }
 
-    def take_datagram(self, datagram: bytes, source: str) -> bool:
+    def handle_datagram(self, datagram: bytes, source: str) -> bool:
         """Handle a datagram; return whether it was one of usage."""
         message = decode_usage(datagram, self._peer_keys)
         if message is None:
--- a/src/tamarackrill/router/owners.py
+++ b/src/tamarackrill/router/owners.py
@@ -147,7 +147,7 @@
             if member.name == ticket.owner:
                 self._send_message(member, Release(own, ticket.number))
 
-    def take_datagram(self, datagram: bytes, source: str) -> bool:
+    def handle_datagram(self, datagram: bytes, source: str) -> bool:
         """Handle a datagram; return whether it was one between owners."""
         message = decode_owner_message(datagram, self._peer_keys)
         if isinstance(message, Ask):
--- a/src/tamarackrill/router/peer_news.py
+++ b/src/tamarackrill/router/peer_news.py
@@ -10,7 +10,7 @@
 from tamarackrill.router.placing import Placer
 
 
-class PeerNews:
+class CrashLoadExchange:
     """What this router tells of endpoints and requests, and what it hears.
 
     Parameters
@@ -46,7 +46,7 @@
         crashes = self._placer.poison.digest(self._clock())
         return PiggybackedEntries(tuple(crashes), tuple(self._owners.digest()))
 
-    def hear(self, heard: PeerStateReceived) -> None:
+    def handle_peer_state(self, heard: PeerStateReceived) -> None:
         """Take what a peer told."""
         now_s = self._clock()
         for count in heard.entries.crashes:
--- a/src/tamarackrill/router/placement_telling.py
+++ b/src/tamarackrill/router/placement_telling.py
@@ -122,7 +122,7 @@
         )
         return write_news(News(self._members.own.name, Stage.TO_ROUTER, entries))
 
-    def take_datagram(self, datagram: bytes, source: str) -> bool:
+    def handle_datagram(self, datagram: bytes, source: str) -> bool:
         """Take a datagram; return whether it held news of placements."""
         news = decode_news(datagram, self._peer_keys)
         if news is None:
--- a/src/tamarackrill/router/platform_client.py
+++ b/src/tamarackrill/router/platform_client.py
@@ -174,7 +174,7 @@
         return _read(self._form.read_object, kind, answer.body)
 
     async def list(
-        self, kind: str, on_begin: Callable[[], None] = lambda: None
+        self, kind: str, on_first_byte: Callable[[], None] = lambda: None
     ) -> Listing:
         """Return all objects of a kind, page by page.
 
@@ -185,11 +185,11 @@
         ----------
         kind : str
             Kind of objects.
-        on_begin : callable, optional
+        on_first_byte : callable, optional
             Called when the answer begins.
         """
         path = self._form.list_path(kind, "")
-        answer = await self._call("GET", path, on_begin=on_begin)
+        answer = await self._call("GET", path, on_first_byte=on_first_byte)
         page = _read(self._form.read_page, kind, answer.body)
         revision = page.revision
         items = list(page.items)
@@ -206,7 +206,7 @@
         kind: str,
         since: int,
         wait_s: float | None = None,
-        on_begin: Callable[[], None] = lambda: None,
+        on_first_byte: Callable[[], None] = lambda: None,
         max_bytes: int | None = None,
     ) -> Listing:
         """Return what changed after a revision; waits for a change.
@@ -219,7 +219,7 @@
             Revision.
         wait_s : float, optional
             Longest wait for a change; 0 asks for what there is.
-        on_begin : callable, optional
+        on_first_byte : callable, optional
             Called when the answer begins.
         max_bytes : int, optional
             Longest answer that is read.
@@ -237,7 +237,7 @@
         path = self._form.watch_path(kind, since, wait_s)
         timeout_s = wait_s + self._timing.call_s
         answer = await self._call(
-            "GET", path, timeout_s, on_begin=on_begin, max_bytes=max_bytes
+            "GET", path, timeout_s, on_first_byte=on_first_byte, max_bytes=max_bytes
         )
         if answer.code == GONE:
             raise WatchLost(f"revision {since} of {kind} is gone")
@@ -308,12 +308,12 @@
         timeout_s: float | None = None,
         headers: dict[str, str] | None = None,
         text: str | None = None,
-        on_begin: Callable[[], None] = lambda: None,
+        on_first_byte: Callable[[], None] = lambda: None,
         max_bytes: int | None = None,
     ) -> _Answer:
         began_s = time.monotonic()
         kind = "watch" if timeout_s else "read" if method == "GET" else "write"
-        progress = Progress(on_begin)
+        progress = Progress(on_first_byte)
         outcome = UNANSWERED
         try:
             answer = await self._ask(
--- a/src/tamarackrill/router/sockets.py
+++ b/src/tamarackrill/router/sockets.py
@@ -14,7 +14,7 @@
 UNACKNOWLEDGED_MAX_MS = 700
 
 
-def probe_silence(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Have the kernel close a connection whose path has died, within three seconds."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
--- a/src/tamarackrill/router/store_fetch.py
+++ b/src/tamarackrill/router/store_fetch.py
@@ -10,7 +10,7 @@
 import pycurl
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest, HTTPResponse
 
-from tamarackrill.router.sockets import probe_silence
+from tamarackrill.router.sockets import enable_keepalive
 
 
 class Progress:
@@ -18,12 +18,12 @@
 
     Parameters
     ----------
-    on_begin : callable
+    on_first_byte : callable
         Called when the answer begins.
     """
 
-    def __init__(self, on_begin: Callable[[], None]) -> None:
-        self._on_begin = on_begin
+    def __init__(self, on_first_byte: Callable[[], None]) -> None:
+        self._on_begin = on_first_byte
         self.begun = asyncio.Event()
         self.begun_s: float | None = None
         self.size_bytes = 0
@@ -103,5 +103,5 @@
 
 def _set_socket_options(fd: int, purpose: int) -> int:
     with socket.socket(fileno=os.dup(fd)) as connection:
-        probe_silence(connection)
+        enable_keepalive(connection)
     return int(pycurl.SOCKOPT_OK)
--- a/src/tamarackrill/router/store_news.py
+++ b/src/tamarackrill/router/store_news.py
@@ -14,7 +14,7 @@
 )
 from tamarackrill.events import EVIDENCE_DROPPED, WATCH_ROLE_CHANGED, log_event
 from tamarackrill.protocol.bulletin_codec import decode_bulletin, encode_bulletin
-from tamarackrill.router.configuring import Configurer
+from tamarackrill.router.configuring import ConfigurationSync
 from tamarackrill.router.members import Member, Members
 
 # How long a router that asked is told.  By then gossip has made it known to the one
@@ -28,7 +28,7 @@
 SUSPENDED_MIN_S = 0.05
 
 
-class StoreNews:
+class EvidenceExchange:
     """Tells other routers what the store has said, and hears them.
 
     Parameters
@@ -37,7 +37,7 @@
         Decides who asks the store.
     members : Members
         Live routers, this one among them.
-    configurer : Configurer
+    configuration_sync : Configurer
         Asks the store, and takes what others hold.
     send : callable
         Sends a datagram to a peer address.
@@ -60,7 +60,7 @@
         self,
         watching: WatchPolicy,
         members: Members,
-        configurer: Configurer,
+        configuration_sync: ConfigurationSync,
         send: Callable[[str, bytes], None],
         peer_keys: tuple[str, ...],
         session: int,
@@ -71,7 +71,7 @@
     ) -> None:
         self._watching = watching
         self._members = members
-        self._configurer = configurer
+        self._configurer = configuration_sync
         self._send = send
         self._peer_keys = peer_keys
         self._session = session
@@ -91,15 +91,15 @@
         self._told: dict[str, Evidence] = {}
         self._told_s = 0.0
         self._repeats_left = 0
-        configurer.on_answer = self._take_answer
-        configurer.on_refused = watching.observe_refusal
-        configurer.on_read = watching.observe_read
-        configurer.find_rest_s = watching.find_wait_s
-        find_usual_s = configurer.find_retry_s
-        configurer.find_retry_s = lambda before_s: watching.find_retry_s(
+        configuration_sync.on_answer = self._take_answer
+        configuration_sync.on_unavailable = watching.observe_refusal
+        configuration_sync.on_read = watching.observe_read
+        configuration_sync.find_poll_delay_s = watching.find_wait_s
+        find_usual_s = configuration_sync.find_retry_s
+        configuration_sync.find_retry_s = lambda before_s: watching.find_retry_s(
             find_usual_s(before_s), find_usual_s(math.inf)
         )
-        configurer.find_watch_s = lambda kind: (
+        configuration_sync.find_watch_s = lambda kind: (
             watching.find_propagation_times(kind).watch_s
         )
 
@@ -108,7 +108,7 @@
         kinds = [digest.kind for digest in self._configurer.digest()]
         return self._watching.find_ages_s(kinds, now_s)
 
-    def take_members(self) -> None:
+    def update_members(self) -> None:
         """Take who lives, and where."""
         zones: dict[str, dict[str, Member]] = defaultdict(dict)
         for member in (*self._members.list_live(), self._members.own):
@@ -132,7 +132,7 @@
                 zones=len(zones),
             )
 
-    def keep_telling(self) -> None:
+    def repeat_evidence(self) -> None:
         """Repeat what was told last, and ask to be told if nothing is heard."""
         self._note_suspension()
         self._tell(is_repeated=True)
@@ -255,7 +255,7 @@
             address = asked[self._pick(len(asked))]
             self._send(address, self._encode((), now_s, asks=True))
 
-    def take_datagram(self, datagram: bytes, source: str) -> bool:
+    def handle_datagram(self, datagram: bytes, source: str) -> bool:
         """Take a datagram; return whether it was a bulletin."""
         bulletin = decode_bulletin(datagram, self._peer_keys)
         if bulletin is None:
@@ -277,7 +277,7 @@
         for evidence in aged or bulletin.evidence:
             as_of_s = now_s - evidence.age_s if aged else -math.inf
             digest = evidence.digest
-            self._configurer.hear_news(bulletin.sender, source, digest, as_of_s)
+            self._configurer.observe_evidence(bulletin.sender, source, digest, as_of_s)
         if bulletin.evidence:
             self.tell()
         return True
--- a/src/tamarackrill/testing/store_fleet.py
+++ b/src/tamarackrill/testing/store_fleet.py
@@ -15,7 +15,7 @@
 from tamarackrill.decisions.news_shares import EVIDENCE_AGE_MAX_SHARE
 from tamarackrill.decisions.watching import SETTLE_S, WatchPolicy
 from tamarackrill.router.members import Member, Members
-from tamarackrill.router.store_news import StoreNews
+from tamarackrill.router.store_news import EvidenceExchange
 
 KIND = "config"
 STEP_S = 0.02
@@ -91,9 +91,9 @@
         self.clock_offset_s = chance.uniform(0, CLOCK_OFFSET_MAX_S)
         self.suspended_s = 0.0
         self.on_answer: Callable[[str, float], None] = lambda kind, as_of_s: None
-        self.on_refused: Callable[[str, float], None] = lambda kind, now_s: None
+        self.on_unavailable: Callable[[str, float], None] = lambda kind, now_s: None
         self.on_read: Callable[[str, float], None] = lambda kind, read_s: None
-        self.find_rest_s: Callable[[str, float], float] = lambda kind, now_s: 0.0
+        self.find_poll_delay_s: Callable[[str, float], float] = lambda kind, now_s: 0.0
         self.find_watch_s: Callable[[str], float] = lambda kind: 0.0
         self.find_retry_s: Callable[[float], float] = lambda before_s: min(
             RETRY_MAX_S, max(RETRY_MIN_S, 2 * before_s)
@@ -108,7 +108,7 @@
             (KIND,),
         )
         self._members = Members(Member(name, name, zone, peer_address=name))
-        self.news = StoreNews(
+        self.news = EvidenceExchange(
             self.watching,
             self._members,
             self,  # type: ignore[arg-type]
@@ -133,13 +133,13 @@
     def learn(self, members: list[Member]) -> None:
         """Take the routers that live."""
         self._members.replace(members)
-        self.news.take_members()
+        self.news.update_members()
 
     def digest(self) -> tuple[ConfigurationDigest, ...]:
         """Return what this router holds."""
         return (ConfigurationDigest(KIND, self.revision, self.revision, self.revision),)
 
-    def hear_news(
+    def observe_evidence(
         self, sender: str, address: str, digest: ConfigurationDigest, as_of_s: float
     ) -> None:
         """Pull from a router that holds more."""
@@ -150,7 +150,7 @@
         """Do what is due."""
         if now_s >= self._told_s:
             self._told_s += HOUSEKEEPING_S
-            self.news.keep_telling()
+            self.news.repeat_evidence()
         if self._pull is not None and now_s >= self._pull[0]:
             self._end_pull(self._pull[1], now_s)
         if self._asked_s is not None:
@@ -170,7 +170,7 @@
             self.held_s[revision] = now_s
 
     def _ask(self, now_s: float) -> None:
-        if self.revision and self.find_rest_s(KIND, self.clock()) > 0.0:
+        if self.revision and self.find_poll_delay_s(KIND, self.clock()) > 0.0:
             self._has_rested = True
             return
         waits = bool(self.revision) and not self._has_rested and not self._retry_s
@@ -188,7 +188,7 @@
             self._asked_s = None
             self._retry_s = self.find_retry_s(self._retry_s)
             self._free_s = now_s + self._retry_s
-            self.on_refused(KIND, self.clock())
+            self.on_unavailable(KIND, self.clock())
             return
         newest = store.find_newest(now_s)
         if newest == self.revision and now_s < self._asked_until_s:
@@ -328,7 +328,7 @@
                 self._queue.append(item)
             elif item.address in self.routers:
                 router = self.routers[item.address]
-                router.news.take_datagram(item.datagram, item.sender)
+                router.news.handle_datagram(item.datagram, item.sender)
 
     def _learn_if_due(self, name: str, router: PlayedRouter) -> None:
         if self.now_s >= self._learns_s.get(name, math.inf):
--- a/tests/test_configuring.py
+++ b/tests/test_configuring.py
@@ -14,7 +14,7 @@
 from tamarackrill.decisions.members import PiggybackedEntries
 from tamarackrill.decisions.membership import PeerStateReceived
 from tamarackrill.exceptions import PlatformUnavailable
-from tamarackrill.router.configuring import Configurer
+from tamarackrill.router.configuring import ConfigurationSync
 from tamarackrill.store_form import Listing, PlatformObject
 
 KIND = "config"
@@ -33,19 +33,19 @@
         self.asked = []
         self.answered = []
 
-    async def list(self, kind, on_begin):
+    async def list(self, kind, on_first_byte):
         self.asked.append("list")
-        return await self._answer([self.version], on_begin)
+        return await self._answer([self.version], on_first_byte)
 
-    async def watch(self, kind, since, wait_s, on_begin, max_bytes):
+    async def watch(self, kind, since, wait_s, on_first_byte, max_bytes):
         self.asked.append("watch")
         if self.version == since:
             await asyncio.sleep(wait_s)
-        return await self._answer(range(since + 1, self.version + 1), on_begin)
+        return await self._answer(range(since + 1, self.version + 1), on_first_byte)
 
-    async def _answer(self, versions, on_begin):
+    async def _answer(self, versions, on_first_byte):
         await self.may_begin.wait()
-        on_begin()
+        on_first_byte()
         revision = self.version
         await self.may_end.wait()
         self.answered.append(f"{self.asked[-1]} of {len(versions)}")
@@ -71,17 +71,17 @@
         self.may_send = asyncio.Event()
         self.may_send.set()
         self.answers = []
-        self.configurer = Configurer(
+        self.configuration_sync = ConfigurationSync(
             self.held,
             self.store,
             lambda taken: None,
             self._pull,
             lambda: self.now_s,
             (KIND,),
-            read_directly=(KIND,),
+            large_kinds=(KIND,),
         )
-        self.configurer.on_answer = lambda *answer: self.answers.append(answer)
-        self.configurer.find_watch_s = lambda kind: 0.01
+        self.configuration_sync.on_answer = lambda *answer: self.answers.append(answer)
+        self.configuration_sync.find_watch_s = lambda kind: 0.01
 
     async def _pull(self, address, kind, since):
         self.pulled.append(address)
@@ -95,11 +95,11 @@
     def hear(self, version):
         digest = ConfigurationDigest(KIND, version, version, version + 1000)
         heard = PeerStateReceived("peer", "peer:1", (digest,), PiggybackedEntries())
-        self.configurer.hear_peer(heard)
+        self.configuration_sync.observe_peer_state(heard)
 
-    def hear_news(self, version, as_of_s=math.inf):
+    def observe_evidence(self, version, as_of_s=math.inf):
         digest = make_digest(version)
-        self.configurer.hear_news("peer", "peer:1", digest, as_of_s)
+        self.configuration_sync.observe_evidence("peer", "peer:1", digest, as_of_s)
 
     async def wait(self, condition):
         async with asyncio.timeout(PATIENCE_S):
@@ -113,7 +113,7 @@
         try:
             await act(follower)
         finally:
-            await follower.configurer.stop()
+            await follower.configuration_sync.stop()
 
     asyncio.run(run())
 
@@ -125,10 +125,10 @@
     # change of the manifest came late.
     async def act(follower):
         follower.store.may_end.clear()
-        await follower.configurer.start()
-        await follower.wait(lambda: follower.configurer._begun_s)
+        await follower.configuration_sync.start()
+        await follower.wait(lambda: follower.configuration_sync._begun_s)
         follower.hear(1)
-        await follower.wait(lambda: not follower.configurer._pulls)
+        await follower.wait(lambda: not follower.configuration_sync._pulls)
         assert not follower.pulled
         follower.store.may_end.set()
         await follower.wait(lambda: follower.held.get(KIND, "main"))
@@ -144,11 +144,11 @@
     async def act(follower):
         follower.store.may_begin.clear()
         follower.store.may_end.clear()
-        await follower.configurer.start()
+        await follower.configuration_sync.start()
         await follower.wait(lambda: follower.store.asked)
         follower.hear(1)
         follower.store.may_begin.set()
-        await follower.wait(lambda: not follower.configurer._pulls)
+        await follower.wait(lambda: not follower.configuration_sync._pulls)
         assert not follower.pulled
 
     play(act)
@@ -157,12 +157,12 @@
 def test_router_that_has_started_asks_no_peer_for_what_the_store_has_told():
     async def act(follower):
         follower.store.may_begin.clear()
-        await follower.configurer.start()
+        await follower.configuration_sync.start()
         await follower.wait(lambda: follower.store.asked)
         follower.hear(1)
         follower.store.may_begin.set()
         await follower.wait(lambda: follower.held.get(KIND, "main"))
-        await follower.wait(lambda: not follower.configurer._pulls)
+        await follower.wait(lambda: not follower.configuration_sync._pulls)
         assert not follower.pulled
 
     play(act)
@@ -171,7 +171,7 @@
 def test_router_that_holds_nothing_asks_a_peer_while_the_store_is_silent():
     async def act(follower):
         follower.store.may_begin.clear()
-        await follower.configurer.start()
+        await follower.configuration_sync.start()
         await follower.wait(lambda: follower.store.asked)
         follower.hear(1)
         await follower.wait(lambda: follower.pulled)
@@ -186,12 +186,12 @@
     async def act(follower):
         begins = []
 
-        async def give_up(kind, on_begin):
-            begins.append(on_begin)
+        async def give_up(kind, on_first_byte):
+            begins.append(on_first_byte)
             raise PlatformUnavailable("the answer did not begin in time")
 
         follower.store.list = give_up
-        await follower.configurer.start()
+        await follower.configuration_sync.start()
         await follower.wait(lambda: begins)
         await asyncio.sleep(0)
         begins[0]()
@@ -207,8 +207,8 @@
     # zone; a key that was taken away meanwhile goes on being served.
     async def act(follower):
         follower.store.may_end.clear()
-        await follower.configurer.start()
-        await follower.wait(lambda: follower.configurer._begun_s)
+        await follower.configuration_sync.start()
+        await follower.wait(lambda: follower.configuration_sync._begun_s)
         follower.now_s += 1.2
         follower.store.may_end.set()
         await follower.wait(lambda: follower.answers)
@@ -222,10 +222,10 @@
     # hears it believes that the change has not been made, and passes nothing on.
     async def act(follower):
         held = []
-        follower.configurer.on_answer = lambda kind, as_of_s: held.append(
+        follower.configuration_sync.on_answer = lambda kind, as_of_s: held.append(
             follower.held.get_complete(kind)
         )
-        await follower.configurer.start()
+        await follower.configuration_sync.start()
         await follower.wait(lambda: held)
         follower.store.version = 2
         await follower.wait(lambda: 2 in held)
@@ -240,8 +240,8 @@
     # newest was in force.
     async def act(follower):
         rest_s = 3600.0
-        follower.configurer.find_rest_s = lambda kind, now_s: rest_s
-        await follower.configurer.start()
+        follower.configuration_sync.find_poll_delay_s = lambda kind, now_s: rest_s
+        await follower.configuration_sync.start()
         await follower.wait(lambda: follower.held.get(KIND, "main"))
         follower.store.version = 6
         follower.hear(6)
@@ -255,7 +255,7 @@
     # An answer that holds several versions took long to read, and more were written
     # meanwhile.  Reading each of them, a router falls further behind.
     async def act(follower):
-        await follower.configurer.start()
+        await follower.configuration_sync.start()
         await follower.wait(lambda: follower.held.get(KIND, "main"))
         follower.store.version = 3
         answered = follower.store.answered
@@ -268,8 +268,8 @@
 
 
 async def start_and_rest(follower):
-    follower.configurer.find_rest_s = lambda kind, now_s: 3600.0
-    await follower.configurer.start()
+    follower.configuration_sync.find_poll_delay_s = lambda kind, now_s: 3600.0
+    await follower.configuration_sync.start()
     await follower.wait(lambda: follower.held.get(KIND, "main"))
 
 
@@ -278,7 +278,7 @@
     async def act(follower):
         await start_and_rest(follower)
         follower.peer_version = 2
-        follower.hear_news(2)
+        follower.observe_evidence(2)
         await follower.wait(lambda: follower.held.get_complete(KIND) == 2)
         assert follower.store.asked == ["list"]
 
@@ -293,7 +293,7 @@
         follower.store.version = 2
         if sends == "nothing at all":
             follower.may_send.clear()
-        follower.hear_news(2)
+        follower.observe_evidence(2)
         await follower.wait(lambda: follower.held.get_complete(KIND) == 2)
         assert follower.store.asked == ["list", "list"]
 
@@ -306,10 +306,10 @@
         await start_and_rest(follower)
         follower.may_send.clear()
         follower.peer_version = 2
-        follower.hear_news(2)
+        follower.observe_evidence(2)
         await follower.wait(lambda: follower.pulled)
         follower.peer_version = 3
-        follower.hear_news(3)
+        follower.observe_evidence(3)
         follower.may_send.set()
         await follower.wait(lambda: follower.held.get_complete(KIND) == 3)
         assert follower.store.asked == ["list"]
@@ -322,13 +322,13 @@
     # before go on arriving.
     async def act(follower):
         lost = []
-        follower.configurer.on_store = lost.append
+        follower.configuration_sync.on_platform_state = lost.append
         await start_and_rest(follower)
         follower.now_s = 110.0
-        follower.configurer._report(lost=True, reason="silent")
-        follower.hear_news(1, as_of_s=109.0)
+        follower.configuration_sync._report(lost=True, reason="silent")
+        follower.observe_evidence(1, as_of_s=109.0)
         assert lost[-1]
-        follower.hear_news(1, as_of_s=110.5)
+        follower.observe_evidence(1, as_of_s=110.5)
         assert not lost[-1]
 
     play(act)
@@ -337,13 +337,13 @@
 def test_store_that_is_lost_is_found_back_with_one_kind_alone():
     # Guards against twice the calls to a store that is down.
     async def act(follower):
-        configurer = follower.configurer
-        configurer._report(lost=True, reason="silent")
+        configuration_sync = follower.configuration_sync
+        configuration_sync._report(lost=True, reason="silent")
         waiting = asyncio.create_task(
-            configurer._pause_before_retry("endpoint", 3600.0)
+            configuration_sync._pause_before_retry("endpoint", 3600.0)
         )
         await asyncio.sleep(0)
-        configurer._report(lost=False)
+        configuration_sync._report(lost=False)
         await asyncio.wait_for(waiting, PATIENCE_S)
 
     play(act)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -257,18 +257,18 @@
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
-        await router.configurer.stop()
+        await router.configuration_sync.stop()
         await fleet.put_manifest(2, LOOKUP)
         revision = fleet.store.state.revision
         newer = ConfigurationDigest("config", revision, revision, 7)
-        router.configurer._note_news(newer)
+        router.configuration_sync._note_news(newer)
         for target, fields in (("/new/a", {}), ("/lookup/a", {"X_Api_Key": "new"})):
             answer = await ask(router, target, **fields)
             assert answer.status == 503
             assert read_reason(answer) == "manifest_outdated"
             assert float(answer.headers["retry-after"]) > 0
         assert (await ask(router, "/lookup/a")).status == 200
-        await router.configurer._list("config")
+        await router.configuration_sync._list("config")
         assert (await ask(router, "/new/a")).status == 404
 
     play(act)
@@ -306,12 +306,12 @@
         router = await fleet.add_router()
         versions = []
         take = router._take_objects
-        router.configurer._on_taken = lambda taken: (
+        router.configuration_sync._on_taken = lambda taken: (
             versions.extend(item.version for item in taken if item.kind == "config"),
             take(taken),
         )
         fleet.store.status = 503
-        await fleet.wait(lambda: router.configurer._lost)
+        await fleet.wait(lambda: router.configuration_sync._lost)
         for version in (2, 3, 4, 5):
             await fleet.put_manifest(version, *many)
         fleet.store.status = 200
@@ -754,8 +754,8 @@
         first = await fleet.add_router("a")
         second = await fleet.add_router("b")
         await fleet.wait(lambda: len(first.members.list_live()) == 2)
-        await second.configurer.stop()
-        second.configurer._report(lost=True, reason="turned away")
+        await second.configuration_sync.stop()
+        second.configuration_sync._report(lost=True, reason="turned away")
         await fleet.put_manifest(2, LOOKUP)
         await fleet.wait(lambda: second.view.routes.manifest.version == 2)
 
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -65,7 +65,7 @@
 
     def send(self, to, datagram):
         if not isinstance(codec.decode_owner_message(datagram, KEYS), self.lost):
-            self.routers[to].take_datagram(datagram, "a peer")
+            self.routers[to].handle_datagram(datagram, "a peer")
 
     def count(self):
         loads = [r.reservations.loads for r in self.routers.values()]
