--- a/src/tamarackrill/router/configuring.py
+++ b/src/tamarackrill/router/configuring.py
@@ -128,7 +128,7 @@
         self._wanted = {kind: asyncio.Event() for kind in kinds}
         self._store = store
         self._platform = platform
-        self._on_taken = on_taken
+        self._on_applied = on_taken
         self._pull = pull
         self._clock = clock
         self._tasks: list[asyncio.Task[None]] = []
@@ -142,7 +142,7 @@
         # Kinds that the platform has been asked for.
         self._asking: set[str] = set()
         self._answer_times = AnswerTimes()
-        self._lost = False
+        self._is_lost = False
         self._lost_s = -math.inf
         self._back = asyncio.Event()
 
@@ -172,7 +172,7 @@
             if not needs_changes(self._store.digest(digest.kind), digest):
                 continue
             if digest.kind in self._readings:
-                self._note_news(digest)
+                self._note_newer_version(digest)
                 self._start_pull(heard, digest.kind)
                 continue
             now_s = self._clock()
@@ -182,7 +182,7 @@
             # second.
             holds_nothing = self._store.get_complete(digest.kind) == 0
             is_late = now_s - since_s >= PULL_AFTER_S
-            if holds_nothing or self._lost or is_late:
+            if holds_nothing or self._is_lost or is_late:
                 self._start_pull(heard, digest.kind)
 
     def observe_evidence(
@@ -200,12 +200,12 @@
         router lost it tells nothing of that.
         """
         if as_of_s > self._lost_s:
-            self._report(lost=False)
+            self._set_platform_lost(lost=False)
         if not needs_changes(self._store.digest(digest.kind), digest):
             self._store.adopt_complete_revision(digest)
             return
         if digest.kind in self._readings:
-            self._note_news(digest)
+            self._note_newer_version(digest)
         heard = PeerStateReceived(sender, address, (digest,), PiggybackedEntries())
         self._start_pull(heard, digest.kind)
 
@@ -216,7 +216,7 @@
             self._store.digest(kind)
         )
 
-    def _note_news(self, digest: ConfigurationDigest) -> None:
+    def _note_newer_version(self, digest: ConfigurationDigest) -> None:
         self._readings[digest.kind].observe_peer(digest)
 
     def _start_pull(self, heard: PeerStateReceived, kind: str) -> None:
@@ -287,12 +287,12 @@
             try:
                 await (self._list(kind) if must_list else self._watch(kind, wait_s))
                 must_list, wait_s, retry_s = False, None, FIRST_RETRY_S
-                self._report(lost=False)
+                self._set_platform_lost(lost=False)
                 await asyncio.sleep(self._pause_s)
             except (WatchLost, AnswerTooLong):
                 must_list = True
             except PlatformUnavailable as error:
-                self._report(lost=True, reason=error.message)
+                self._set_platform_lost(lost=True, reason=error.message)
                 self.on_unavailable(kind, self._clock())
                 # After an outage a router that has the configuration asks what
                 # changed.  Were all to list everything at once, the platform, just
@@ -403,17 +403,17 @@
                 source=source,
             )
         if taken:
-            self._on_taken(taken)
+            self._on_applied(taken)
         return taken
 
-    def _report(self, lost: bool, reason: str = "") -> None:
-        if lost and not self._lost:
+    def _set_platform_lost(self, lost: bool, reason: str = "") -> None:
+        if lost and not self._is_lost:
             self._lost_s = self._clock()
             log_event(PLATFORM_LOST, reason=reason)
-        elif self._lost and not lost:
+        elif self._is_lost and not lost:
             log_event(PLATFORM_BACK)
             self._back.set()
-        self._lost = lost
+        self._is_lost = lost
         self.on_platform_state(lost)
 
 
--- a/tests/test_configuring.py
+++ b/tests/test_configuring.py
@@ -325,7 +325,7 @@
         follower.configuration_sync.on_platform_state = lost.append
         await start_and_rest(follower)
         follower.now_s = 110.0
-        follower.configuration_sync._report(lost=True, reason="silent")
+        follower.configuration_sync._set_platform_lost(lost=True, reason="silent")
         follower.observe_evidence(1, as_of_s=109.0)
         assert lost[-1]
         follower.observe_evidence(1, as_of_s=110.5)
@@ -338,12 +338,12 @@
     # Guards against twice the calls to a store that is down.
     async def act(follower):
         configuration_sync = follower.configuration_sync
-        configuration_sync._report(lost=True, reason="silent")
+        configuration_sync._set_platform_lost(lost=True, reason="silent")
         waiting = asyncio.create_task(
             configuration_sync._pause_before_retry("endpoint", 3600.0)
         )
         await asyncio.sleep(0)
-        configuration_sync._report(lost=False)
+        configuration_sync._set_platform_lost(lost=False)
         await asyncio.wait_for(waiting, PATIENCE_S)
 
     play(act)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -261,7 +261,7 @@
         await fleet.put_manifest(2, LOOKUP)
         revision = fleet.store.state.revision
         newer = ConfigurationDigest("config", revision, revision, 7)
-        router.configuration_sync._note_news(newer)
+        router.configuration_sync._note_newer_version(newer)
         for target, fields in (("/new/a", {}), ("/lookup/a", {"X_Api_Key": "new"})):
             answer = await ask(router, target, **fields)
             assert answer.status == 503
@@ -306,12 +306,12 @@
         router = await fleet.add_router()
         versions = []
         take = router._take_objects
-        router.configuration_sync._on_taken = lambda taken: (
+        router.configuration_sync._on_applied = lambda taken: (
             versions.extend(item.version for item in taken if item.kind == "config"),
             take(taken),
         )
         fleet.store.status = 503
-        await fleet.wait(lambda: router.configuration_sync._lost)
+        await fleet.wait(lambda: router.configuration_sync._is_lost)
         for version in (2, 3, 4, 5):
             await fleet.put_manifest(version, *many)
         fleet.store.status = 200
@@ -755,7 +755,7 @@
         second = await fleet.add_router("b")
         await fleet.wait(lambda: len(first.members.list_live()) == 2)
         await second.configuration_sync.stop()
-        second.configuration_sync._report(lost=True, reason="turned away")
+        second.configuration_sync._set_platform_lost(lost=True, reason="turned away")
         await fleet.put_manifest(2, LOOKUP)
         await fleet.wait(lambda: second.view.routes.manifest.version == 2)
 
