--- a/src/tamarackrill/router/configuring.py
+++ b/src/tamarackrill/router/configuring.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration of this router at the newest versions known."""
+"""Synchronizes this router's configuration with the platform and its peers."""
 
 import asyncio
 import contextlib
@@ -32,81 +32,83 @@
 from tamarackrill.store_form import Listing
 
 KINDS = (CONTRACT_KIND, ENDPOINT_KIND)
-# 370 routers that ask again every 5 s for two kinds are 148 reads a second, of about
-# 2,000 that the platform takes.
+# 370 routers that retry two kinds every 5 s make 148 reads a second; the platform
+# handles about 2,000.
 RETRY_MIN_S = 0.5
 RETRY_MAX_S = 5.0
-# Whoever waits for another kind to find the platform back waits longer than that one.
-BACK_SOON_FACTOR = 2.0
-# A call that fails at once after a good one is most often a connection that was closed;
-# waiting first would only make the next change late.
+# A kind that waits for the first kind to find the platform recovered waits longer than
+# the first kind's own retry.
+RECOVERY_WAIT_FACTOR = 2.0
+# A failure right after a success is most often a closed connection; a longer backoff
+# would only delay the next change.
 FIRST_RETRY_S = 0.02
-# A watch brings a change within milliseconds; a peer is asked only if it did not.
+# A watch delivers a change within milliseconds; a peer is asked only if it did not.
 PULL_AFTER_S = 1.0
-# A router that has just started gives the platform so long to begin its answer before
-# it asks a peer as well.  A platform that is well begins within 5 ms, over a loaded
-# link within some tens.
-HEAD_START_S = 0.15
-# A peer that tells of a change has so long to send it before the platform is asked.  It
-# may be frozen, or its link full.
-HAND_ON_MAX_S = 0.3
+# Time a router that has just started waits for the first byte from the platform before
+# it also asks a peer.  A healthy platform takes up to 5 ms, over a loaded link some
+# tens.
+FIRST_PULL_DELAY_S = 0.15
+# Time a peer that advertised a change has to send it before the platform is asked.  The
+# peer may be frozen, or its link saturated.
+PLATFORM_FALLBACK_S = 0.3
 
 PullChanges = Callable[[str, str, int], Awaitable[ChangeSet]]
 
 
 class ConfigurationSync:
-    """Watches the platform, and asks peers for what the watch did not bring.
+    """Watches the platform, and pulls from peers what the watch did not deliver.
 
     Parameters
     ----------
     store : ConfigurationStore
-        Gets what was read.
+        Stores the objects that were read.
     platform : PlatformClient
         Not owned.
-    on_taken : callable
-        Called with the list of objects that are newly in force.
+    on_applied : callable
+        Called with the list of objects that came into force.
     pull : callable
         ``await pull(address, kind, since)`` returns a peer's `ChangeSet`.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     kinds : tuple of str, optional
-        Kinds of objects that are followed.
+        Kinds of objects to synchronize.
     retry_max_s : float, optional
-        Longest pause between two calls that fail.
+        Maximum backoff between failed calls.
     large_kinds : tuple of str, optional
-        Kinds whose changes may be too large to come from a peer, or to read more of
-        them than the newest; the platform is asked if a peer doesn't send them soon.
+        Kinds whose objects may be too large to transfer from a peer, or to read more
+        versions than the newest; the platform is asked if a peer doesn't send them
+        within `PLATFORM_FALLBACK_S`.
     pause_s : float, optional
-        Between an answer and the next call, so that changes that come together cost
-        one call.
+        Pause between an answer and the next call, so that changes close together need
+        only one call.
 
     Attributes
     ----------
     on_platform_state : callable
-        Called with whether the platform is lost, at each outcome of a call.
+        Called after each call with whether the platform is unavailable.
     on_answer : callable
-        Called with the kind that the platform has answered about, and as of when.
+        Called with the kind of an answer and the time as of which the answer is valid.
     on_unavailable : callable
-        Called with the kind that the platform has not answered about, and when.
+        Called with the kind and the time of a call that failed.
     on_read : callable
-        Called with a kind of which a change was read, and how long that took from the
-        answer's first byte to its being in force.
+        Called with the kind of a change that was read, and the time from the answer's
+        first byte until the change was in force.
     find_watch_s : callable
-        ``find_watch_s(kind)`` returns the longest wait of a watch; None for the
-        client's own.
+        ``find_watch_s(kind)`` returns the maximum wait of a watch; None for the
+        client's default.
     find_retry_s : callable
-        ``find_retry_s(before_s)`` returns the pause after a call that failed, from the
-        one before it.
+        ``find_retry_s(before_s)`` returns the backoff after a failed call, given the
+        previous backoff.
     find_poll_delay_s : callable
-        ``find_poll_delay_s(kind, now_s)`` returns for how long the platform need not be
-        asked, since another router's evidence is fresh.
+        ``find_poll_delay_s(kind, now_s)`` returns for how long no call to the platform
+        is needed, because another router's evidence is fresh.
     """
 
     def __init__(
         self,
         store: ConfigurationStore,
         platform: PlatformClient,
-        on_taken: Callable[[list[ObjectVersion]], None],
+        on_applied: Callable[[list[ObjectVersion]], None],
         pull: PullChanges,
         clock: Callable[[], float],
         kinds: tuple[str, ...] = KINDS,
@@ -125,36 +127,36 @@
         self.on_read: Callable[[str, float], None] = lambda kind, read_s: None
         self.find_watch_s: Callable[[str], float | None] = lambda kind: None
         self.find_poll_delay_s: Callable[[str, float], float] = lambda kind, now_s: 0.0
-        self._wanted = {kind: asyncio.Event() for kind in kinds}
+        self._read_requested = {kind: asyncio.Event() for kind in kinds}
         self._store = store
         self._platform = platform
-        self._on_applied = on_taken
+        self._on_applied = on_applied
         self._pull = pull
         self._clock = clock
         self._tasks: list[asyncio.Task[None]] = []
         self._pulls: dict[str, asyncio.Task[None]] = {}
-        # Who told last of what this router lacks.
-        self._tellers: dict[str, PeerStateReceived] = {}
+        # Latest peer state, by kind, that advertises changes missing here.
+        self._newest_advertised: dict[str, PeerStateReceived] = {}
         self._behind_since_s: dict[str, float] = {}
-        self._readings = {kind: ReadPlanner() for kind in large_kinds}
-        # When the first byte came of the answers that are being read.
-        self._begun_s: dict[str, float] = {}
-        # Kinds that the platform has been asked for.
-        self._asking: set[str] = set()
+        self._read_planners = {kind: ReadPlanner() for kind in large_kinds}
+        # When the first byte arrived, by kind, of the answers being read.
+        self._first_byte_s: dict[str, float] = {}
+        # Kinds with a call to the platform in progress.
+        self._calls_in_progress: set[str] = set()
         self._answer_times = AnswerTimes()
         self._is_lost = False
         self._lost_s = -math.inf
-        self._back = asyncio.Event()
+        self._recovered = asyncio.Event()
 
     async def start(self) -> None:
         """Start the watches."""
         for kind in self._kinds:
-            task = asyncio.create_task(self._follow(kind), name=f"follow {kind}")
+            task = asyncio.create_task(self._sync(kind), name=f"follow {kind}")
             task.add_done_callback(log_failure)
             self._tasks.append(task)
 
     async def stop(self) -> None:
-        """End the watches."""
+        """Stop the watches and pulls."""
         tasks = [*self._tasks, *self._pulls.values()]
         for task in tasks:
             task.cancel()
@@ -164,26 +166,25 @@
         """Return the digests of all kinds."""
         return tuple(self._store.digest(kind) for kind in self._kinds)
 
-    def observe_peer_state(self, heard: PeerStateReceived) -> None:
-        """Ask a peer for what it holds and this router doesn't, if that lasts."""
-        for digest in heard.configuration:
+    def observe_peer_state(self, peer_state: PeerStateReceived) -> None:
+        """Pull from a peer what it holds and this router still lacks after a delay."""
+        for digest in peer_state.configuration:
             if digest.kind not in self._kinds:
                 continue
             if not needs_changes(self._store.digest(digest.kind), digest):
                 continue
-            if digest.kind in self._readings:
+            if digest.kind in self._read_planners:
                 self._note_newer_version(digest)
-                self._start_pull(heard, digest.kind)
+                self._start_pull(peer_state, digest.kind)
                 continue
             now_s = self._clock()
             since_s = self._behind_since_s.setdefault(digest.kind, now_s)
-            # A router that has just started holds nothing and serves nobody.  Were it
-            # to wait for a platform that is silent, it would refuse its clients for a
-            # second.
+            # A router that has just started holds nothing.  If it waited for a platform
+            # that doesn't answer, it would refuse its clients for another second.
             holds_nothing = self._store.get_complete(digest.kind) == 0
             is_late = now_s - since_s >= PULL_AFTER_S
             if holds_nothing or self._is_lost or is_late:
-                self._start_pull(heard, digest.kind)
+                self._start_pull(peer_state, digest.kind)
 
     def observe_evidence(
         self,
@@ -192,97 +193,99 @@
         digest: ConfigurationDigest,
         as_of_s: float,
     ) -> None:
-        """Take what a router holds that the platform has just answered.
+        """Process another router's evidence of a recent answer of the platform.
 
-        It also tells that the platform answers.  A router that once was turned away and
-        no longer asks itself would otherwise count it as lost for ever, and take each
-        endpoint that ends for one whose entry has lapsed.  What it answered before this
-        router lost it tells nothing of that.
+        The evidence also shows that the platform is available, if it is newer than this
+        router's own loss of it.  A router whose calls were once refused, and that makes
+        none since, would otherwise consider the platform lost forever, and mistake each
+        endpoint that is removed for one whose entry has expired.
         """
         if as_of_s > self._lost_s:
             self._set_platform_lost(lost=False)
         if not needs_changes(self._store.digest(digest.kind), digest):
             self._store.adopt_complete_revision(digest)
             return
-        if digest.kind in self._readings:
+        if digest.kind in self._read_planners:
             self._note_newer_version(digest)
-        heard = PeerStateReceived(sender, address, (digest,), PiggybackedEntries())
-        self._start_pull(heard, digest.kind)
+        peer_state = PeerStateReceived(sender, address, (digest,), PiggybackedEntries())
+        self._start_pull(peer_state, digest.kind)
 
     def knows_newer_version(self, kind: str) -> bool:
-        """Return whether another router is known to hold what this one doesn't yet."""
-        reading = self._readings.get(kind)
-        return reading is not None and reading.knows_newer_version(
+        """Return whether another router is known to hold a newer version."""
+        planner = self._read_planners.get(kind)
+        return planner is not None and planner.knows_newer_version(
             self._store.digest(kind)
         )
 
     def _note_newer_version(self, digest: ConfigurationDigest) -> None:
-        self._readings[digest.kind].observe_peer(digest)
-
-    def _start_pull(self, heard: PeerStateReceived, kind: str) -> None:
-        self._tellers[kind] = heard
-        # An answer of the store that has begun is on its way.  The same from a peer
-        # would share the link with it, and both would come later; of a manifest that
-        # is half a second, at this router and at the peer.
-        if kind in self._pulls or kind in self._begun_s:
+        self._read_planners[digest.kind].observe_peer(digest)
+
+    def _start_pull(self, peer_state: PeerStateReceived, kind: str) -> None:
+        self._newest_advertised[kind] = peer_state
+        # While an answer of the platform arrives, the same data from a peer would
+        # compete for the link and delay both; for a manifest by half a second, at this
+        # router and at the peer.
+        if kind in self._pulls or kind in self._first_byte_s:
             return
-        task = asyncio.create_task(self._pull_when_due(heard, kind))
+        task = asyncio.create_task(self._pull_unless_read(peer_state, kind))
         self._pulls[kind] = task
 
-    async def _pull_when_due(self, heard: PeerStateReceived, kind: str) -> None:
+    async def _pull_unless_read(self, peer_state: PeerStateReceived, kind: str) -> None:
         try:
-            if self._is_first_answer_due(kind):
-                await asyncio.sleep(HEAD_START_S)
-                if kind in self._begun_s or self._store.get_complete(kind):
+            if self._awaits_first_answer(kind):
+                await asyncio.sleep(FIRST_PULL_DELAY_S)
+                if kind in self._first_byte_s or self._store.get_complete(kind):
                     return
-            await self._pull_in_time(heard, kind)
+            await self._pull_or_request_read(peer_state, kind)
         finally:
             del self._pulls[kind]
 
-    async def _pull_in_time(self, heard: PeerStateReceived, kind: str) -> None:
-        pulling = asyncio.ensure_future(self._pull_from(heard, kind))
+    async def _pull_or_request_read(
+        self, peer_state: PeerStateReceived, kind: str
+    ) -> None:
+        pulling = asyncio.ensure_future(self._pull_from(peer_state, kind))
         try:
-            await asyncio.wait([pulling], timeout=HAND_ON_MAX_S)
-            newest = self._tellers[kind]
+            await asyncio.wait([pulling], timeout=PLATFORM_FALLBACK_S)
+            newest = self._newest_advertised[kind]
             if (
                 pulling.done()
-                and newest is not heard
+                and newest is not peer_state
                 and self.knows_newer_version(kind)
             ):
-                # Another change came meanwhile.
+                # Another change was advertised during the pull.
                 await self._pull_from(newest, kind)
             if self.knows_newer_version(kind):
-                self._wanted[kind].set()
+                self._read_requested[kind].set()
             await pulling
         finally:
             pulling.cancel()
 
-    def _is_first_answer_due(self, kind: str) -> bool:
-        # Half of a fleet may start at once.  Each of them hears of a peer before the
-        # platform's first byte is there, most of the same few that were left: these had
-        # to send a manifest to five routers, and their own callers were refused for two
-        # seconds.
-        return kind in self._asking and self._store.get_complete(kind) == 0
+    def _awaits_first_answer(self, kind: str) -> bool:
+        # When half of a fleet starts at once, each router learns of a peer before the
+        # platform's first byte arrives, mostly of the same few that kept running.  If
+        # each pulled, a peer would send the manifest to five routers and refuse its own
+        # callers for two seconds.
+        return kind in self._calls_in_progress and self._store.get_complete(kind) == 0
 
-    async def _pull_from(self, heard: PeerStateReceived, kind: str) -> None:
+    async def _pull_from(self, peer_state: PeerStateReceived, kind: str) -> None:
         since = self._store.get_complete(kind)
         try:
-            changes = await self._pull(heard.address, kind, since)
-            self._take(changes, heard.sender)
+            changes = await self._pull(peer_state.address, kind, since)
+            self._apply(changes, peer_state.sender)
         except PeerUnavailable as error:
             log_event(
                 CONFIGURATION_PULL_FAILED,
                 kind=kind,
-                peer=heard.sender,
+                peer=peer_state.sender,
                 reason=error.message,
             )
 
-    async def _follow(self, kind: str) -> None:
+    async def _sync(self, kind: str) -> None:
         must_list = True
         wait_s: float | None = None
         retry_s = FIRST_RETRY_S
         while True:
-            wait_s = 0.0 if await self._rest(kind) else wait_s
+            wait_s = 0.0 if await self._wait_while_fresh(kind) else wait_s
             must_list = must_list or self._must_list(kind)
             try:
                 await (self._list(kind) if must_list else self._watch(kind, wait_s))
@@ -294,10 +297,10 @@
             except PlatformUnavailable as error:
                 self._set_platform_lost(lost=True, reason=error.message)
                 self.on_unavailable(kind, self._clock())
-                # After an outage a router that has the configuration asks what
-                # changed.  Were all to list everything at once, the platform, just
-                # back, would have to send 370 times a megabyte.  It asks without
-                # waiting, so that the platform counts as back at once.
+                # After an outage, a router that holds the configuration asks only for
+                # changes.  If all listed everything at once, the recovering platform
+                # would send 370 times a megabyte.  The watch doesn't wait, so that the
+                # recovery is detected at once.
                 must_list = self._store.get_complete(kind) == 0
                 wait_s = 0.0
                 await self._pause_before_retry(kind, retry_s * random.uniform(0.5, 1.0))
@@ -307,94 +310,94 @@
         if kind == self._kinds[0] or retry_s < RETRY_MIN_S / 2:
             await asyncio.sleep(retry_s)
             return
-        # Whether the platform is back is found out with the first kind alone.
-        self._back.clear()
+        # Only the first kind's calls probe whether the platform has recovered.
+        self._recovered.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(BACK_SOON_FACTOR * retry_s):
-                await self._back.wait()
+            async with asyncio.timeout(RECOVERY_WAIT_FACTOR * retry_s):
+                await self._recovered.wait()
 
     def _must_list(self, kind: str) -> bool:
-        reading = self._readings.get(kind)
-        return reading is not None and reading.must_list(self._store.digest(kind))
+        planner = self._read_planners.get(kind)
+        return planner is not None and planner.must_list(self._store.digest(kind))
 
-    async def _rest(self, kind: str) -> bool:
-        """Wait as long as others' evidence is enough; return whether that was so."""
-        has_rested = False
-        wanted = self._wanted[kind]
+    async def _wait_while_fresh(self, kind: str) -> bool:
+        """Wait while other routers' evidence is fresh; return whether it waited."""
+        has_waited = False
+        read_requested = self._read_requested[kind]
         if not self.knows_newer_version(kind):
-            # What was wanted has come with the answer before.
-            wanted.clear()
-        while not wanted.is_set() and self._store.get_complete(kind):
-            rest_s = self.find_poll_delay_s(kind, self._clock())
-            if rest_s <= 0.0:
+            # The previous answer has delivered the requested version.
+            read_requested.clear()
+        while not read_requested.is_set() and self._store.get_complete(kind):
+            poll_delay_s = self.find_poll_delay_s(kind, self._clock())
+            if poll_delay_s <= 0.0:
                 break
-            has_rested = True
+            has_waited = True
             try:
-                async with asyncio.timeout(rest_s):
-                    await wanted.wait()
+                async with asyncio.timeout(poll_delay_s):
+                    await read_requested.wait()
             except TimeoutError:
                 continue
-        wanted.clear()
-        return has_rested
+        read_requested.clear()
+        return has_waited
 
     async def _list(self, kind: str) -> None:
-        await self._read(kind, self._platform.list, 0.0, whole=True)
+        await self._read(kind, self._platform.list, 0.0, is_snapshot=True)
 
     async def _watch(self, kind: str, wait_s: float | None) -> None:
         since = self._store.get_complete(kind)
         if wait_s is None:
             wait_s = self.find_watch_s(kind) or self._platform.watch_wait_s
-        reading = self._readings.get(kind)
-        max_bytes = None if reading is None else reading.watch_max_bytes
+        planner = self._read_planners.get(kind)
+        max_bytes = None if planner is None else planner.watch_max_bytes
 
         def ask(kind: str, on_first_byte: Callable[[], None]) -> Awaitable[Listing]:
             return self._platform.watch(kind, since, wait_s, on_first_byte, max_bytes)
 
-        await self._read(kind, ask, wait_s, whole=False)
+        await self._read(kind, ask, wait_s, is_snapshot=False)
 
     async def _read(
         self,
         kind: str,
         ask: Callable[[str, Callable[[], None]], Awaitable[Listing]],
         wait_s: float,
-        whole: bool,
+        is_snapshot: bool,
     ) -> None:
-        is_over = False
+        has_ended = False
         asked_s = self._clock()
 
-        def begin() -> None:
-            # A call that was given up may still be answered; taken for one that is
-            # being read, it would keep this router from asking its peers for good.
-            if not is_over:
-                self._begun_s.setdefault(kind, self._clock())
+        def record_first_byte() -> None:
+            # A call that timed out may still be answered.  Counted as an answer being
+            # read, it would keep this router from ever pulling from its peers again.
+            if not has_ended:
+                self._first_byte_s.setdefault(kind, self._clock())
 
-        self._asking.add(kind)
+        self._calls_in_progress.add(kind)
         try:
-            listing = await ask(kind, begin)
-            begun_s = self._begun_s.get(kind, self._clock())
+            listing = await ask(kind, record_first_byte)
+            begun_s = self._first_byte_s.get(kind, self._clock())
         finally:
-            is_over = True
-            self._asking.discard(kind)
-            self._begun_s.pop(kind, None)
-        source = "list" if whole else "watch"
-        taken = self._take(_to_changes(kind, listing, whole), source)
-        # Told before, others would take what this router held until now for what the
-        # platform has just said.
+            has_ended = True
+            self._calls_in_progress.discard(kind)
+            self._first_byte_s.pop(kind, None)
+        source = "list" if is_snapshot else "watch"
+        applied = self._apply(_to_changes(kind, listing, is_snapshot), source)
+        # Reported only after the changes are applied; otherwise other routers would
+        # take the previous configuration for the platform's latest answer.
         answer = StoreAnswer(asked_s, begun_s, wait_s, not listing.items)
         self.on_answer(kind, self._answer_times.find_as_of_s(answer))
         self._answer_times.observe(answer)
         if listing.items:
             self.on_read(kind, self._clock() - begun_s)
-        reading = self._readings.get(kind)
-        if reading is not None and whole:
-            reading.observe_list(bool(taken), listing.size_bytes)
-        elif reading is not None:
-            reading.observe_watch(item.name for item in listing.items)
+        planner = self._read_planners.get(kind)
+        if planner is not None and is_snapshot:
+            planner.observe_list(bool(applied), listing.size_bytes)
+        elif planner is not None:
+            planner.observe_watch(item.name for item in listing.items)
 
-    def _take(self, changes: ChangeSet, source: str) -> list[ObjectVersion]:
+    def _apply(self, changes: ChangeSet, source: str) -> list[ObjectVersion]:
         self._behind_since_s.pop(changes.kind, None)
-        taken = self._store.apply_changes(changes)
-        for item in taken:
+        applied = self._store.apply_changes(changes)
+        for item in applied:
             log_event(
                 CONFIGURATION_TAKEN,
                 kind=item.kind,
@@ -402,9 +405,9 @@
                 version=item.version,
                 source=source,
             )
-        if taken:
-            self._on_applied(taken)
-        return taken
+        if applied:
+            self._on_applied(applied)
+        return applied
 
     def _set_platform_lost(self, lost: bool, reason: str = "") -> None:
         if lost and not self._is_lost:
@@ -412,11 +415,11 @@
             log_event(PLATFORM_LOST, reason=reason)
         elif self._is_lost and not lost:
             log_event(PLATFORM_BACK)
-            self._back.set()
+            self._recovered.set()
         self._is_lost = lost
         self.on_platform_state(lost)
 
 
-def _to_changes(kind: str, listing: Listing, whole: bool) -> ChangeSet:
+def _to_changes(kind: str, listing: Listing, is_snapshot: bool) -> ChangeSet:
     objects = tuple(ObjectVersion(*item) for item in listing.items)
-    return ChangeSet(kind, objects, listing.revision, whole)
+    return ChangeSet(kind, objects, listing.revision, is_snapshot)
--- a/src/tamarackrill/router/datagrams.py
+++ b/src/tamarackrill/router/datagrams.py
@@ -1,4 +1,4 @@
-"""The UDP socket on which routers talk to each other."""
+"""The UDP socket for messages between routers."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,15 +8,15 @@
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """Owns the socket; hands each datagram to the handler that knows its kind.
+    """Owns the socket and passes each datagram to the handler that accepts it.
 
-    A handler gets a datagram and its source, and returns whether it was for it.  They
-    are asked in the order of `handlers`.
+    A handler gets a datagram and its source, and returns whether it accepted it.  The
+    handlers are tried in the order of `handlers`.
 
     Parameters
     ----------
     count : callable, optional
-        Called with a counter's name, a label and what to add.
+        Called with a counter's name, a label and the increment.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         return f"{address}:{transport.get_extra_info('sockname')[1]}"
 
     def send(self, peer_address: str, datagram: bytes) -> None:
-        """Send a datagram; one that can't be sent is lost, as on the network."""
+        """Send a datagram; one that can't be sent is dropped, as on the network."""
         host, _, port = peer_address.rpartition(":")
         if self._transport is not None and port.isdigit():
             self._count("peer_bytes", "sent", len(datagram))
@@ -49,7 +49,7 @@
             self._transport = None
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand a datagram on."""
+        """Pass a datagram to the handlers until one accepts it."""
         self._count("peer_bytes", "received", len(data))
         source = f"{addr[0]}:{addr[1]}"
         for handler in self.handlers:
@@ -57,4 +57,4 @@
                 return
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over the error of an earlier send; whoever waits has a timeout."""
+        """Ignore the error of an earlier send; callers have their own timeouts."""
--- a/src/tamarackrill/router/gossip.py
+++ b/src/tamarackrill/router/gossip.py
@@ -1,4 +1,4 @@
-"""The task that owns the membership state and talks to the other routers."""
+"""Runs the gossip protocol: owns the membership state and exchanges messages."""
 
 import asyncio
 import random
@@ -32,7 +32,7 @@
 
 
 class Gossiper:
-    """Talks to the other routers and keeps `Members` up to date.
+    """Exchanges gossip messages and keeps `Members` up to date.
 
     Parameters
     ----------
@@ -41,15 +41,15 @@
     send : callable
         Sends a datagram to a peer address.
     peer_keys : tuple of str
-        The first signs, all verify.
+        The first key signs; all of them verify.
     members : Members
-        Told of each change.
+        Updated on each change.
     digest_configuration : callable
-        Returns the digests of the configuration held now.
+        Returns the digests of the current configuration.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     contacts : tuple of str, optional
-        Peer addresses of some routers, asked when the VM list can't be had.
+        Peer addresses of some routers, used when the VM list is unavailable.
     """
 
     def __init__(
@@ -70,55 +70,55 @@
         self._digest_configuration = digest_configuration
         self._clock = clock
         self._random = random.SystemRandom()
-        self._on_heard: list[Callable[[PeerStateReceived], None]] = []
-        self._collect: list[Callable[[], PiggybackedEntries]] = []
+        self._subscribers: list[Callable[[PeerStateReceived], None]] = []
+        self._entry_sources: list[Callable[[], PiggybackedEntries]] = []
         self._dropped: dict[str, tuple[int, str]] = {}
-        self._ticking: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
 
-    def subscribe(self, on_heard: Callable[[PeerStateReceived], None]) -> None:
-        """Call `on_heard` for each message of a peer."""
-        self._on_heard.append(on_heard)
+    def subscribe(self, on_peer_state: Callable[[PeerStateReceived], None]) -> None:
+        """Call `on_peer_state` with the state in each message of a peer."""
+        self._subscribers.append(on_peer_state)
 
     def add_source(self, collect: Callable[[], PiggybackedEntries]) -> None:
-        """Send what `collect` returns, asked for each tick, along with messages."""
-        self._collect.append(collect)
+        """Piggyback on messages what `collect` returns at each tick."""
+        self._entry_sources.append(collect)
 
     async def start(self) -> None:
-        """Start to tick."""
-        self._ticking = asyncio.create_task(self._tick_for_ever())
+        """Start the periodic tick."""
+        self._tick_task = asyncio.create_task(self._run_ticks())
 
     async def stop(self) -> None:
-        """Tell the others that this router has left; the socket must still be open."""
-        if self._ticking is not None:
-            self._ticking.cancel()
-            await asyncio.gather(self._ticking, return_exceptions=True)
+        """Announce that this router has left; the socket must still be open."""
+        if self._tick_task is not None:
+            self._tick_task.cancel()
+            await asyncio.gather(self._tick_task, return_exceptions=True)
         self._announce(MemberState.LEFT)
 
     def leave(self) -> None:
-        """Tell the others to send this router no new work."""
+        """Announce that this router is leaving and takes no new work."""
         self._announce(MemberState.LEAVING)
 
     def update_vm_list(self, vms: tuple[Vm, ...]) -> None:
-        """Take the platform's VM list."""
+        """Apply the platform's VM list."""
         self._membership.update_vm_list(vms)
         self._publish()
 
     def report(self, name: str, entries: PiggybackedEntries) -> None:
         """Send entries to one router now, as far as the byte budget allows."""
-        self._act(self._membership.push_entries(name, entries))
+        self._execute(self._membership.push_entries(name, entries))
 
     def describe(self) -> dict[str, Any]:
-        """Return the counts and the hash of the view, for queries."""
+        """Return the counts and the hash of the membership view, for queries."""
         view = f"{self._membership.view:016x}"
         return {"view": view, "known": len(self._membership.list_members())} | dict(
             self.counts
         )
 
     def handle_datagram(self, datagram: bytes, source: str) -> bool:
-        """Take a datagram; nothing is raised.
+        """Process a datagram; never raises.
 
-        It must be the last of the socket's handlers, as it counts what none knows as
-        a stranger's.
+        It must be the last of the socket's handlers, because it counts datagrams that
+        no other handler accepted as a stranger's.
         """
         self.counts["received"] += 1
         self.counts["received_bytes"] += len(datagram)
@@ -127,36 +127,36 @@
         except InvalidMessage as error:
             self._drop(error.reason, source)
             return True
-        self._act(self._membership.receive(message, self._clock()))
+        self._execute(self._membership.receive(message, self._clock()))
         return True
 
-    async def _tick_for_ever(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
-            self._refresh()
-            self._act(self._membership.tick(self._clock(), self._random.randrange))
+            self._update_payload()
+            self._execute(self._membership.tick(self._clock(), self._random.randrange))
             self._log_dropped()
             await asyncio.sleep(TICK_S)
 
-    def _refresh(self) -> None:
+    def _update_payload(self) -> None:
         self._membership.configuration = self._digest_configuration()
-        collected = [collect() for collect in self._collect]
+        collected = [collect() for collect in self._entry_sources]
         self._membership.entries = PiggybackedEntries(
             tuple(crash for entries in collected for crash in entries.crashes),
             tuple(load for entries in collected for load in entries.loads),
         )
 
     def _announce(self, state: MemberState) -> None:
-        self._act(self._membership.announce(state, self._random.randrange))
+        self._execute(self._membership.announce(state, self._random.randrange))
 
-    def _act(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
             elif isinstance(action, MemberChanged):
                 self._log_change(action)
             elif isinstance(action, PeerStateReceived):
-                for on_heard in self._on_heard:
-                    on_heard(action)
+                for on_peer_state in self._subscribers:
+                    on_peer_state(action)
             elif isinstance(action, StaleMessageDropped):
                 self._drop("stale", action.sender)
             elif isinstance(action, ProcessFroze):
@@ -181,12 +181,12 @@
         )
 
     def _publish(self) -> None:
-        takes_work = {record.name for record in self._membership.live_members()}
+        available = {record.name for record in self._membership.live_members()}
         members = []
         for record in self._membership.list_members():
             state = _STATE_NAMES[record.state]
-            # The VM list says that it leaves; the router itself doesn't know yet.
-            if state in ("alive", "suspect") and record.name not in takes_work:
+            # The VM list shows it as leaving, but the router doesn't know yet.
+            if state in ("alive", "suspect") and record.name not in available:
                 state = "leaving"
             members.append(
                 Member(
@@ -205,7 +205,7 @@
         self._dropped[reason] = (count + 1, source)
 
     def _log_dropped(self) -> None:
-        # A line for each datagram would let a stranger fill the log.
+        # One log line per datagram would let a stranger flood the log.
         for reason, (count, source) in self._dropped.items():
             log_event(PEER_MESSAGES_DROPPED, reason=reason, count=count, source=source)
         self._dropped.clear()
--- a/src/tamarackrill/router/known_objects.py
+++ b/src/tamarackrill/router/known_objects.py
@@ -21,7 +21,7 @@
 
 
 class FaultyObject(NamedTuple):
-    """An object that can't be read; the version before it stays in force."""
+    """An object that can't be read; its previous version stays in force."""
 
     kind: str
     name: str
@@ -30,12 +30,12 @@
 
 
 class KnownObjects:
-    """What the newest objects that can be read say.
+    """Contracts and endpoints by their newest readable versions.
 
-    An object that someone wrote past the command line may be malformed.  Were it to
-    end the task that follows the platform, no later change would come into force at
-    any router, though all of them would go on answering.  So it is logged, shown in
-    the status, and the version before it is kept.
+    An object that was not written with the command line may be malformed.  If it ended
+    the task that watches the platform, no later change would come into force at any
+    router, while all of them kept answering.  Therefore it is logged and shown in the
+    status, and its previous version stays in force.
     """
 
     def __init__(self) -> None:
@@ -43,29 +43,31 @@
         self._endpoints: dict[str, Endpoint] = {}
         self._faulty: dict[tuple[str, str], FaultyObject] = {}
         self._leaving = LeavingEndpoints()
-        # Endpoints as `list_endpoints` returns them; None once one has changed.
+        # Cached result of `list_endpoints`; None after a change.
         self._listed: list[Endpoint] | None = None
-        # Contract of each key's hash; None once a contract has changed.
-        self._holders: dict[str, Contract] | None = None
+        # Cached index of the contracts by key hash; None after a change.
+        self._contract_by_key_hash: dict[str, Contract] | None = None
 
     def take(self, item: ObjectVersion) -> None:
-        """Put a newer version of an object in force, or a deletion."""
+        """Put a newer version of an object, or its deletion, in force."""
         reader = _READERS.get(item.kind)
         if reader is None:
             return
-        self._holders = None
+        self._contract_by_key_hash = None
         self._listed = None
-        known: dict = self._contracts if item.kind == CONTRACT_KIND else self._endpoints
+        objects: dict = (
+            self._contracts if item.kind == CONTRACT_KIND else self._endpoints
+        )
         self._faulty.pop((item.kind, item.name), None)
         if item.value is None:
-            known.pop(item.name, None)
+            objects.pop(item.name, None)
             if item.kind == ENDPOINT_KIND:
                 self._leaving.remove(item.name)
             return
         try:
-            known[item.name] = reader(item.value)
+            objects[item.name] = reader(item.value)
             if item.kind == ENDPOINT_KIND:
-                self._note_object(known[item.name])
+                self._observe_object_state(objects[item.name])
         except FindingsError as error:
             message = "; ".join(finding.show() for finding in error.findings)
             faulty = FaultyObject(item.kind, item.name, item.version, message)
@@ -83,25 +85,25 @@
         return self._contracts.get(team)
 
     def find_holder(self, key_hash: str) -> Contract | None:
-        """Return the contract that holds a key, by the key's hash.
+        """Return the contract with a key, by the key's hash.
 
-        If two contracts hold it, the first by name is taken, at every router alike.
+        If several contracts have it, all routers choose the first one by name.
         """
-        if self._holders is None:
+        if self._contract_by_key_hash is None:
             ordered = sorted(self._contracts.items(), reverse=True)
-            self._holders = {
-                known: contract
+            self._contract_by_key_hash = {
+                key_hash: contract
                 for _, contract in ordered
-                for known in contract.key_hashes
+                for key_hash in contract.key_hashes
             }
-        return self._holders.get(key_hash)
+        return self._contract_by_key_hash.get(key_hash)
 
     def list_contracts(self) -> list[Contract]:
         """Return the contracts in force."""
         return list(self._contracts.values())
 
     def list_endpoints(self) -> list[Endpoint]:
-        """Return the endpoints known now; one that leaves by any news says so."""
+        """Return the endpoints, as leaving if any source reports them so."""
         if self._listed is None:
             self._listed = [
                 endpoint._replace(state="leaving")
@@ -112,26 +114,26 @@
         return self._listed
 
     def update_vm_list(self, vms: Iterable[Vm]) -> None:
-        """Take the platform's list, which may call the VM of an endpoint leaving.
+        """Apply the platform's VM list, which may show an endpoint's VM as leaving.
 
-        An endpoint whose VM is not listed is left as it is: the list lags, and the
-        VM of a new endpoint may not be on it yet.
+        An endpoint whose VM is not listed stays unchanged, because the list lags and
+        the VM of a new endpoint may still be missing.
         """
         states = {vm.name: vm.state for vm in vms}
         for endpoint in self._endpoints.values():
             state = states.get(endpoint.vm or endpoint.name)
             if state is not None:
-                news = LeavingReport(endpoint.name, "vm_list", state == "leaving")
-                self._observe(news)
+                report = LeavingReport(endpoint.name, "vm_list", state == "leaving")
+                self._observe_report(report)
 
-    def _note_object(self, endpoint: Endpoint) -> None:
+    def _observe_object_state(self, endpoint: Endpoint) -> None:
         is_leaving = endpoint.state == "leaving"
-        self._observe(LeavingReport(endpoint.name, "object", is_leaving))
+        self._observe_report(LeavingReport(endpoint.name, "object", is_leaving))
 
-    def _observe(self, news: LeavingReport) -> None:
-        if self._leaving.observe(news):
+    def _observe_report(self, report: LeavingReport) -> None:
+        if self._leaving.observe(report):
             self._listed = None
-            log_event(ENDPOINT_LEAVING, **news._asdict())
+            log_event(ENDPOINT_LEAVING, **report._asdict())
 
     def list_faulty(self) -> list[FaultyObject]:
         """Return the objects that can't be read, by kind and name."""
--- a/src/tamarackrill/router/members.py
+++ b/src/tamarackrill/router/members.py
@@ -1,4 +1,4 @@
-"""The routers that this router believes to be live."""
+"""The routers that this router considers live."""
 
 from typing import NamedTuple
 
@@ -14,7 +14,7 @@
 
 
 class Members:
-    """Live routers; this one is always among them.
+    """Known routers, always including this one.
 
     Parameters
     ----------
@@ -25,18 +25,18 @@
     def __init__(self, own: Member) -> None:
         self.own = own
         self._others: dict[str, Member] = {}
-        # Asked for with each datagram between routers, and seldom another one.
+        # Cached: it is read for each datagram between routers and seldom changes.
         self._live: tuple[Member, list[Member]] | None = None
 
     def replace(self, members: list[Member]) -> None:
-        """Take a new list of members."""
+        """Replace the list of other members."""
         self._others = {m.name: m for m in members if m.name != self.own.name}
         self._live = None
 
     def list_live(self) -> list[Member]:
-        """Return the routers that may be the home of a chat, by name."""
-        # A suspect is kept until it is removed: most have only missed two pings, and
-        # the chats of a removed router move away and lose their order's memory.
+        """Return the routers that may be the home of a chat, sorted by name."""
+        # Suspects stay until they are removed: most have only missed two pings, and the
+        # chats of a removed router move to another home and lose their ordering state.
         if self._live is None or self._live[0] != self.own:
             live = [m for m in self._others.values() if m.state in ("alive", "suspect")]
             if self.own.state == "alive":
@@ -45,5 +45,5 @@
         return list(self._live[1])
 
     def list_all(self) -> list[Member]:
-        """Return all known routers, by name."""
+        """Return all known routers, sorted by name."""
         return sorted([self.own, *self._others.values()])
--- a/src/tamarackrill/router/peer_api.py
+++ b/src/tamarackrill/router/peer_api.py
@@ -1,9 +1,8 @@
-"""What a router asks another one for, over HTTP.
+"""HTTP API between routers for configuration changes and placements.
 
-A contract list may be a megabyte, and what a router knows of placements is some hundred
-kilobytes, so neither goes by UDP.  Request and answer each
-carry a keyed digest; the request's nonce is part of both, so that neither an old
-answer nor one to another request is taken.
+A contract list may be a megabyte, and the placements that a router knows some hundred
+kilobytes, which is too large for UDP.  Requests and answers carry an HMAC that includes
+the request's nonce, so that a replayed answer, or one to another request, is rejected.
 """
 
 import hashlib
@@ -34,38 +33,40 @@
 CONFIGURATION_PATH = "/internal/v1/configuration"
 PLACEMENTS_PATH = "/internal/v1/placements"
 PULL_TIMEOUT_S = 3.0
-# A manifest of 281 kB becomes a tenth of that within a few ms.
-PACK_LEVEL = 1
-# Answers to routers that lack the same; a few revisions of two kinds.
-PACKED_KEPT = 8
-NONCE = "Tamarackrill-Nonce"
-PROOF = "Tamarackrill-Proof"
+# Compresses a manifest of 281 kB to a tenth within a few ms.
+COMPRESSION_LEVEL = 1
+# Enough for a few revisions of two kinds.
+CACHE_ENTRIES_MAX = 8
+NONCE_HEADER = "Tamarackrill-Nonce"
+PROOF_HEADER = "Tamarackrill-Proof"
 
 
 class PeerUnavailable(TamarackrillError):
-    """A peer did not answer, or its answer was not proved."""
+    """A peer did not answer, or its answer was not authentic."""
 
     code = "peer_unavailable"
 
 
-def prove(key: str, nonce: str, text: bytes) -> str:
-    """Return the keyed digest of a request or an answer."""
+def sign(key: str, nonce: str, text: bytes) -> str:
+    """Return the HMAC of a request or an answer."""
     return hmac.new(
         key.encode(), nonce.encode() + b"\n" + text, hashlib.sha256
     ).hexdigest()
 
 
-def is_proved(keys: tuple[str, ...], nonce: str, text: bytes, proof: str) -> bool:
-    """Return whether any of the keys gives this digest."""
-    given = proof.encode()
-    found = [
-        hmac.compare_digest(given, prove(key, nonce, text).encode()) for key in keys
+def is_authentic(
+    keys: tuple[str, ...], nonce: str, text: bytes, signature: str
+) -> bool:
+    """Return whether the signature matches any of the keys."""
+    received = signature.encode()
+    matches = [
+        hmac.compare_digest(received, sign(key, nonce, text).encode()) for key in keys
     ]
-    return bool(nonce) and any(found)
+    return bool(nonce) and any(matches)
 
 
-class _ProvedHandler(RequestHandler):
-    """Answers peers alone, and proves the answer."""
+class _AuthenticatedHandler(RequestHandler):
+    """Answers only authenticated peers, and signs the answers."""
 
     def initialize(
         self,
@@ -73,72 +74,72 @@
         peer_keys: tuple[str, ...],
         count: Callable[[str, str], None],
     ) -> None:
-        """Take what the handler serves from."""
+        """Set what the handler serves from."""
         self._find_answer = find_answer
         self._peer_keys = peer_keys
         self._count = count
 
     def get(self) -> None:
-        """Answer a peer."""
-        nonce = self.request.headers.get(NONCE, "")
-        proof = self.request.headers.get(PROOF, "")
+        """Answer an authenticated peer; others get 403."""
+        nonce = self.request.headers.get(NONCE_HEADER, "")
+        signature = self.request.headers.get(PROOF_HEADER, "")
         uri = self.request.uri or ""
-        if not is_proved(self._peer_keys, nonce, uri.encode(), proof):
-            # Contracts tell who the customers are.
+        if not is_authentic(self._peer_keys, nonce, uri.encode(), signature):
+            # Contracts reveal who the customers are.
             self._count("peer_requests_dropped", "stranger")
             raise HTTPError(403)
         body = self._find_answer(self)
         self.set_header("Content-Type", "application/octet-stream")
-        self.set_header(PROOF, prove(self._peer_keys[0], "answer " + nonce, body))
+        self.set_header(PROOF_HEADER, sign(self._peer_keys[0], "answer " + nonce, body))
         self.finish(body)
 
 
-class _PackedChanges:
-    """Answers to peers, packed once for all that ask for the same.
+class _CompressedChanges:
+    """Cache of compressed answers, so that equal requests are compressed once.
 
-    A manifest changes, and all routers of a zone ask for it.
+    When a manifest changes, all routers of a zone request it.
     """
 
     def __init__(self, store: ConfigurationStore) -> None:
         self._store = store
-        self._kept: dict[tuple[str, int], tuple[int, bytes]] = {}
+        self._cache: dict[tuple[str, int], tuple[int, bytes]] = {}
 
     def find(self, kind: str, since: int) -> bytes:
         digest = self._store.digest(kind)
-        mark = hash(digest)
-        kept = self._kept.get((kind, since))
-        if kept is None or kept[0] != mark:
+        content_hash = hash(digest)
+        cached = self._cache.get((kind, since))
+        if cached is None or cached[0] != content_hash:
             text = json.dumps(self._store.changes_since(kind, since)).encode()
-            kept = (mark, zlib.compress(text, PACK_LEVEL))
-            if len(self._kept) >= PACKED_KEPT:
-                self._kept.clear()
-            self._kept[kind, since] = kept
-        return kept[1]
+            cached = (content_hash, zlib.compress(text, COMPRESSION_LEVEL))
+            if len(self._cache) >= CACHE_ENTRIES_MAX:
+                self._cache.clear()
+            self._cache[kind, since] = cached
+        return cached[1]
 
 
 def list_handlers(
     store: ConfigurationStore,
     peer_keys: tuple[str, ...],
     count: Callable[[str, str], None],
-    find_news: Callable[[], bytes] | None = None,
-    may_hand_on: Callable[[int], bool] = lambda size_bytes: True,
+    find_placements: Callable[[], bytes] | None = None,
+    has_link_capacity: Callable[[int], bool] = lambda size_bytes: True,
 ) -> list[tuple[str, type[RequestHandler], dict[str, Any]]]:
-    """Return what a router answers its peers over HTTP.
+    """Return the HTTP handlers for requests of peers.
 
     Parameters
     ----------
     store : ConfigurationStore
         Configuration held.
     peer_keys : tuple of str
-        Keys shared by the routers.
+        Keys shared by the routers; the first signs, all of them verify.
     count : callable
-        Counts requests that no peer sent.
-    find_news : callable, optional
-        Returns what this router knows of placements, encoded.
-    may_hand_on : callable, optional
-        Returns whether the link bears an answer of so many bytes now.
+        Counts requests that are dropped.
+    find_placements : callable, optional
+        Returns the placements that this router knows, encoded.
+    has_link_capacity : callable, optional
+        Returns whether the link has capacity now for an answer of so many bytes.
     """
-    packed = _PackedChanges(store)
+    compressed = _CompressedChanges(store)
 
     def find_changes(handler: RequestHandler) -> bytes:
         try:
@@ -146,8 +147,8 @@
         except ValueError:
             raise HTTPError(400) from None
         kind = handler.get_argument("kind")
-        text = packed.find(kind, since)
-        if not may_hand_on(len(text)):
+        text = compressed.find(kind, since)
+        if not has_link_capacity(len(text)):
             count("peer_requests_dropped", "link full")
             raise HTTPError(503)
         log_event(
@@ -160,12 +161,12 @@
         return text
 
     answers = {CONFIGURATION_PATH: find_changes}
-    if find_news is not None:
-        answers[PLACEMENTS_PATH] = lambda handler: find_news()
+    if find_placements is not None:
+        answers[PLACEMENTS_PATH] = lambda handler: find_placements()
     return [
         (
             path,
-            _ProvedHandler,
+            _AuthenticatedHandler,
             {"find_answer": f, "peer_keys": peer_keys, "count": count},
         )
         for path, f in answers.items()
@@ -179,7 +180,7 @@
     since: int,
     peer_keys: tuple[str, ...],
 ) -> ChangeSet:
-    """Ask a peer for changes.
+    """Pull configuration changes from a peer.
 
     Parameters
     ----------
@@ -190,29 +191,29 @@
     kind : str
         Kind of objects.
     since : int
-        Revision up to which this router lacks nothing.
+        Revision up to which this router is complete.
     peer_keys : tuple of str
-        The first signs, all verify.
+        The first key signs; all of them verify.
 
     Returns
     -------
-    Changes
+    ChangeSet
 
     Raises
     ------
     PeerUnavailable
-        If the peer did not answer, or its answer was not proved.
+        If the peer did not answer, or its answer was not authentic or not valid.
     """
     uri = f"{CONFIGURATION_PATH}?kind={kind}&since={since}"
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     text = await pull(client, address, uri, peer_keys)
-    changes = _read_changes(text)
+    changes = _parse_changes(text)
     log_event(
         CONFIGURATION_PULLED,
         kind=kind,
         peer=address,
         since=since,
-        duration_s=round(time.monotonic() - began_s, 4),
+        duration_s=round(time.monotonic() - started_s, 4),
         size_bytes=len(text),
         objects=len(changes.objects),
     )
@@ -222,15 +223,18 @@
 async def pull(
     client: CurlAsyncHTTPClient, address: str, uri: str, peer_keys: tuple[str, ...]
 ) -> bytes:
-    """Ask a peer and return its answer, which is proved.
+    """Send a signed request to a peer and return its verified answer.
 
     Raises
     ------
     PeerUnavailable
-        If the peer did not answer, or its answer was not proved.
+        If the peer did not answer, or its answer was not authentic.
     """
     nonce = secrets.token_hex(16)
-    headers = {NONCE: nonce, PROOF: prove(peer_keys[0], nonce, uri.encode())}
+    headers = {
+        NONCE_HEADER: nonce,
+        PROOF_HEADER: sign(peer_keys[0], nonce, uri.encode()),
+    }
     request = HTTPRequest(
         f"http://{address}{uri}",
         headers=headers,
@@ -241,17 +245,17 @@
         response = await client.fetch(request)
     except (HTTPClientError, OSError) as error:
         raise PeerUnavailable(str(error)) from error
-    proof = response.headers.get(PROOF, "")
-    if not is_proved(peer_keys, "answer " + nonce, response.body, proof):
-        raise PeerUnavailable("the answer is not proved by a peer key")
+    signature = response.headers.get(PROOF_HEADER, "")
+    if not is_authentic(peer_keys, "answer " + nonce, response.body, signature):
+        raise PeerUnavailable("the answer is not signed with a peer key")
     return response.body
 
 
-def _read_changes(text: bytes) -> ChangeSet:
-    # A peer of another release may prove an answer of another form.
+def _parse_changes(text: bytes) -> ChangeSet:
+    # A peer of another release may send a signed answer in another format.
     try:
         kind, objects, complete, whole = json.loads(zlib.decompress(text))
         items = tuple(ObjectVersion(*item) for item in objects)
     except (TypeError, ValueError, zlib.error) as error:
-        raise PeerUnavailable("the answer holds no changes") from error
+        raise PeerUnavailable("the answer is not a valid set of changes") from error
     return ChangeSet(kind, items, complete, whole)
--- a/src/tamarackrill/router/peer_news.py
+++ b/src/tamarackrill/router/peer_news.py
@@ -1,4 +1,4 @@
-"""Exchanges crashes and loads with the other routers, through the gossip."""
+"""Exchanges crash counts and loads with the other routers by gossip."""
 
 from collections.abc import Callable
 
@@ -11,20 +11,20 @@
 
 
 class CrashLoadExchange:
-    """What this router tells of endpoints and requests, and what it hears.
+    """Provides crash counts and loads for gossip, and applies those of peers.
 
     Parameters
     ----------
     placer : Placer
-        Knows the crashes and takes the loads.
+        Holds the crash counts, and uses the loads of peers.
     owners : Owners
-        Counts the loads of the endpoints owned here.
+        Counts the loads of the endpoints that this router owns.
     members : Members
         Live routers.
     report : callable
         Sends entries to one router now, as far as the byte budget allows.
     clock : callable
-        Returns the present time.
+        Returns the current time.
     """
 
     def __init__(
@@ -42,23 +42,24 @@
         self._clock = clock
 
     def collect(self) -> PiggybackedEntries:
-        """Return what goes along with each message of the gossip."""
+        """Return the entries to piggyback on gossip messages."""
         crashes = self._placer.poison.digest(self._clock())
         return PiggybackedEntries(tuple(crashes), tuple(self._owners.digest()))
 
-    def handle_peer_state(self, heard: PeerStateReceived) -> None:
-        """Take what a peer told."""
+    def handle_peer_state(self, peer_state: PeerStateReceived) -> None:
+        """Apply the crash counts and loads of a peer."""
         now_s = self._clock()
-        for count in heard.entries.crashes:
-            self._placer.poison.observe_peer(heard.sender, *count, now_s)
-        self._placer.placement.observe_peer(heard.entries.loads, now_s)
-        self._owners.reservations.loads.observe_peer(heard.entries.loads, now_s)
+        for count in peer_state.entries.crashes:
+            self._placer.poison.observe_peer(peer_state.sender, *count, now_s)
+        self._placer.placement.observe_peer(peer_state.entries.loads, now_s)
+        self._owners.reservations.loads.observe_peer(peer_state.entries.loads, now_s)
 
     def tell_crash(self, count: CrashCount) -> None:
-        """Tell all peers of a crash at once.
+        """Send a crash count to all peers at once.
 
-        Gossip takes many seconds to reach all.  The caller of a poison request sends
-        it again at once, and the balancer hands it to a router that knows of nothing.
+        Gossip takes many seconds to reach all of them, but the caller of a poison
+        request retries at once, and the balancer may pick a router that hasn't heard of
+        the crash.
         """
         for member in self._members.list_live():
             if member.name != self._members.own.name:
--- a/src/tamarackrill/router/platform_client.py
+++ b/src/tamarackrill/router/platform_client.py
@@ -1,7 +1,7 @@
 """Client of an object store: lists, watches and conditional writes.
 
-One client serves each store that routers read; what differs between them (paths and
-fields) is passed as a `StoreForm`.
+The same client serves all stores that routers read; what differs between them (paths
+and fields) is passed as a `StoreForm`.
 """
 
 import json
@@ -19,7 +19,7 @@
 
 from tamarackrill.contracts import Vm
 from tamarackrill.exceptions import PlatformUnavailable
-from tamarackrill.router.store_fetch import Progress, fetch, make_preparation
+from tamarackrill.router.store_fetch import CallProgress, fetch, make_curl_setup
 from tamarackrill.store_form import (
     Listing,
     ObjectPage,
@@ -29,7 +29,7 @@
 
 _T = TypeVar("_T")
 CALL_TIMEOUT_S = 2.0
-# A value of a megabyte, the largest that the store holds, takes 1.7 s over 5 Mbit/s.
+# The largest value that the store holds, a megabyte, takes 1.7 s over 5 Mbit/s.
 BODY_MAX_S = 3.0
 WATCH_WAIT_S = 25.0
 CONFLICTS = (409, 412)
@@ -38,14 +38,14 @@
 
 
 class StoreTiming(NamedTuple):
-    """How long a client waits for a store.
+    """Timeouts of a client of a store.
 
     Parameters
     ----------
     call_s : float
-        For an answer; a watch may take this much longer than it waits.
+        Timeout of a call; added to its wait for a watch.
     watch_wait_s : float
-        Longest wait of a watch for a change.
+        Maximum wait of a watch for a change.
     """
 
     call_s: float = CALL_TIMEOUT_S
@@ -53,14 +53,14 @@
 
 
 class WriteResult(NamedTuple):
-    """Outcome of a conditional write that was answered.
+    """Outcome of a conditional write that got an answer.
 
     Parameters
     ----------
     version : int or None
-        Version written, or None if the condition did not hold.
+        Version written, or None if the condition failed.
     current : PlatformObject or None
-        What stood there instead, if the condition did not hold.
+        Existing object, if the condition failed.
     """
 
     version: int | None
@@ -68,20 +68,20 @@
 
 
 class StoreCall(NamedTuple):
-    """One call to a store, as it ended.
+    """A completed call to a store.
 
     Parameters
     ----------
     kind : {"read", "watch", "write"}
-        What was asked.
+        Type of call.
     path : str
         Path and query of the call.
     outcome : str
         Status of the answer, or why there was none.
     first_byte_s : float
-        From the call to the first byte of the answer; to the end if none came.
+        Time from the call to the first byte of the answer, or to the end if none came.
     duration_s : float
-        From the call to its end.
+        Time from the call to its end.
     size_bytes : int
         Size of the answer.
     """
@@ -99,7 +99,7 @@
 
 
 class _Answer(NamedTuple):
-    """Status, contents and size of an answer."""
+    """Status, parsed body and size of an answer."""
 
     code: int
     body: Any
@@ -107,19 +107,19 @@
 
 
 class WatchLost(PlatformUnavailable):
-    """The platform no longer knows the revision asked for; list again."""
+    """The platform no longer has the requested revision; list again."""
 
     code = "watch_lost"
 
 
 class AnswerTooLong(PlatformUnavailable):
-    """The answer is longer than was asked for; it was not read."""
+    """The answer exceeds the size limit and was not read."""
 
     code = "answer_too_long"
 
 
 class PlatformClient:
-    """Calls of the object API.
+    """Client of the platform's object API.
 
     Parameters
     ----------
@@ -130,7 +130,7 @@
     client : tornado.httpclient.AsyncHTTPClient
         Not owned; the application object closes it.
     form : StoreForm, optional
-        How the store spells its calls; that of our stand-in by default.
+        Paths and fields of the store; by default those of the stand-in for tests.
     timing : StoreTiming, optional
         Timeouts.
 
@@ -157,7 +157,7 @@
 
     @property
     def watch_wait_s(self) -> float:
-        """Longest wait of a watch that is not told otherwise."""
+        """Default maximum wait of a watch."""
         return self._timing.watch_wait_s
 
     async def get(self, kind: str, name: str) -> PlatformObject | None:
@@ -171,32 +171,32 @@
         answer = await self._call("GET", self._form.object_path(kind, name))
         if answer.code == NOT_FOUND:
             return None
-        return _read(self._form.read_object, kind, answer.body)
+        return _parse(self._form.read_object, kind, answer.body)
 
     async def list(
         self, kind: str, on_first_byte: Callable[[], None] = lambda: None
     ) -> Listing:
         """Return all objects of a kind, page by page.
 
-        The revision is that of the first page: what changes between two pages is then
-        reported once more by the next watch, and nothing is missed.
+        The revision is that of the first page, so that the next watch reports objects
+        that change between two pages again, and none is missed.
 
         Parameters
         ----------
         kind : str
             Kind of objects.
         on_first_byte : callable, optional
-            Called when the answer begins.
+            Called when the first page begins to arrive.
         """
         path = self._form.list_path(kind, "")
         answer = await self._call("GET", path, on_first_byte=on_first_byte)
-        page = _read(self._form.read_page, kind, answer.body)
+        page = _parse(self._form.read_page, kind, answer.body)
         revision = page.revision
         items = list(page.items)
         size_bytes = answer.size_bytes
         while page.after:
             answer = await self._call("GET", self._form.list_path(kind, page.after))
-            page = _read(self._form.read_page, kind, answer.body)
+            page = _parse(self._form.read_page, kind, answer.body)
             items += page.items
             size_bytes += answer.size_bytes
         return Listing(tuple(items), revision, size_bytes)
@@ -209,7 +209,7 @@
         on_first_byte: Callable[[], None] = lambda: None,
         max_bytes: int | None = None,
     ) -> Listing:
-        """Return what changed after a revision; waits for a change.
+        """Return the changes after a revision; waits until there is one.
 
         Parameters
         ----------
@@ -218,18 +218,18 @@
         since : int
             Revision.
         wait_s : float, optional
-            Longest wait for a change; 0 asks for what there is.
+            Maximum wait for a change; 0 returns at once.
         on_first_byte : callable, optional
-            Called when the answer begins.
+            Called when the answer begins to arrive.
         max_bytes : int, optional
-            Longest answer that is read.
+            Size above which the answer is not read.
 
         Raises
         ------
         WatchLost
-            If the platform has forgotten that revision.
+            If the platform no longer has that revision.
         AnswerTooLong
-            If the answer is longer than `max_bytes`.
+            If the answer exceeds `max_bytes`.
         PlatformUnavailable
             If the platform did not answer.
         """
@@ -241,24 +241,24 @@
         )
         if answer.code == GONE:
             raise WatchLost(f"revision {since} of {kind} is gone")
-        listing = _read(self._form.read_events, kind, answer.body)
+        listing = _parse(self._form.read_events, kind, answer.body)
         return listing._replace(size_bytes=answer.size_bytes)
 
     async def list_vms(self) -> tuple[Vm, ...]:
         """Return the VM list."""
         answer = await self._call("GET", "/vms")
-        _check_form(answer.body, "vms")
+        _check_field(answer.body, "vms")
         return tuple(Vm(**vm) for vm in answer.body["vms"])
 
     async def put(
         self, kind: str, name: str, value: Any, expected_version: int | None
     ) -> WriteResult:
-        """Write an object if its version is still the expected one.
+        """Write an object if it still has the expected version.
 
         Parameters
         ----------
         kind, name : str
-            Which object.
+            Kind and name of the object.
         value : object
             JSON value.
         expected_version : int or None
@@ -271,7 +271,7 @@
         Raises
         ------
         PlatformUnavailable
-            If no answer came.  The write may have taken effect.
+            If there was no answer; the write may have taken effect.
         """
         text = json.dumps(value)
         return await self._write("PUT", kind, name, expected_version, text)
@@ -279,7 +279,7 @@
     async def delete(
         self, kind: str, name: str, expected_version: int | None
     ) -> WriteResult:
-        """Delete an object if its version is still the expected one."""
+        """Delete an object if it still has the expected version."""
         return await self._write("DELETE", kind, name, expected_version, None)
 
     async def _write(
@@ -311,12 +311,12 @@
         on_first_byte: Callable[[], None] = lambda: None,
         max_bytes: int | None = None,
     ) -> _Answer:
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         kind = "watch" if timeout_s else "read" if method == "GET" else "write"
-        progress = Progress(on_first_byte)
+        progress = CallProgress(on_first_byte)
         outcome = UNANSWERED
         try:
-            answer = await self._ask(
+            answer = await self._send(
                 method, path, timeout_s, headers, text, progress, max_bytes
             )
             outcome = str(answer.code)
@@ -326,26 +326,26 @@
             raise
         finally:
             ended_s = time.monotonic()
-            first_byte_s = (progress.begun_s or ended_s) - began_s
+            first_byte_s = (progress.first_byte_s or ended_s) - started_s
             self.on_call(
                 StoreCall(
                     kind,
                     path,
                     outcome,
                     first_byte_s,
-                    ended_s - began_s,
+                    ended_s - started_s,
                     progress.size_bytes,
                 )
             )
 
-    async def _ask(
+    async def _send(
         self,
         method: str,
         path: str,
         timeout_s: float | None,
         headers: dict[str, str] | None,
         text: str | None,
-        progress: Progress,
+        progress: CallProgress,
         max_bytes: int | None,
     ) -> _Answer:
         first_byte_s = timeout_s or self._timing.call_s
@@ -357,26 +357,27 @@
             request_timeout=first_byte_s + BODY_MAX_S,
             connect_timeout=self._timing.call_s,
             allow_nonstandard_methods=True,
-            prepare_curl_callback=make_preparation(max_bytes),
-            header_callback=progress.begin,
+            prepare_curl_callback=make_curl_setup(max_bytes),
+            header_callback=progress.handle_header_line,
         )
         try:
-            response = await fetch(self._client, request, progress.begun, first_byte_s)
+            response = await fetch(
+                self._client, request, progress.first_byte, first_byte_s
+            )
         except (HTTPClientError, OSError) as error:
             if getattr(error, "errno", None) == pycurl.E_FILESIZE_EXCEEDED:
-                raise AnswerTooLong("the answer is longer than asked for") from error
-            # A timeout of the first byte has no text.
+                raise AnswerTooLong("the answer exceeds the size limit") from error
+            # The TimeoutError of a missing first byte has no message.
             raise PlatformUnavailable(f"platform: {error or repr(error)}") from error
         progress.size_bytes = len(response.body or b"")
-        is_told = response.code in (*CONFLICTS, NOT_FOUND, GONE)
-        if response.error is not None and not is_told:
+        is_expected = response.code in (*CONFLICTS, NOT_FOUND, GONE)
+        if response.error is not None and not is_expected:
             raise PlatformUnavailable(f"platform: {response.error}")
-        return _Answer(response.code, _load(response.body), progress.size_bytes)
+        return _Answer(response.code, _parse_json(response.body), progress.size_bytes)
 
 
-def _read(read: Callable[[str, Any], _T], kind: str, body: Any) -> _T:
-    # The address may be that of something else, such as a router, which answers JSON
-    # of its own.
+def _parse(read: Callable[[str, Any], _T], kind: str, body: Any) -> _T:
+    # The address may belong to another service, such as a router, whose JSON differs.
     try:
         return read(kind, body)
     except (KeyError, TypeError, ValueError) as error:
@@ -385,22 +386,21 @@
         ) from error
 
 
-def _check_form(body: Any, field: str) -> None:
-    # The address may be that of something else, such as a router, which answers JSON
-    # of its own.
+def _check_field(body: Any, field: str) -> None:
+    # The address may belong to another service, such as a router, whose JSON differs.
     if not isinstance(body, dict) or field not in body:
         raise PlatformUnavailable("platform: the answer is not one of an object API")
 
 
-def _load(body: bytes) -> Any:
+def _parse_json(body: bytes) -> Any:
     try:
-        # One object with bytes that are no text must not hide all others of its list.
+        # Invalid UTF-8 in one object must not make the whole list unreadable.
         return json.loads(body.decode(errors="replace") or "null")
     except (ValueError, RecursionError) as error:
-        raise PlatformUnavailable("platform: the answer is no JSON") from error
+        raise PlatformUnavailable("platform: the answer is not valid JSON") from error
 
 
-def _stand_in_list(body: Any, field: str) -> tuple[PlatformObject, ...]:
+def _parse_objects(body: Any, field: str) -> tuple[PlatformObject, ...]:
     return tuple(PlatformObject(**item) for item in body[field])
 
 
@@ -412,10 +412,10 @@
     ),
     object_path=lambda kind, name: f"/objects/{kind}/{quote(name, safe='')}",
     read_page=lambda kind, body: ObjectPage(
-        _stand_in_list(body, "items"), body["revision"]
+        _parse_objects(body, "items"), body["revision"]
     ),
     read_events=lambda kind, body: Listing(
-        _stand_in_list(body, "events"), body["revision"]
+        _parse_objects(body, "events"), body["revision"]
     ),
     read_object=lambda kind, body: PlatformObject(**body),
 )
--- a/src/tamarackrill/router/store_fetch.py
+++ b/src/tamarackrill/router/store_fetch.py
@@ -1,4 +1,4 @@
-"""One HTTP call to a store, and how far it has come."""
+"""One HTTP call to a store, and its progress."""
 
 import asyncio
 import os
@@ -13,88 +13,90 @@
 from tamarackrill.router.sockets import enable_keepalive
 
 
-class Progress:
-    """How far one call has come.
+class CallProgress:
+    """Progress of one call.
 
     Parameters
     ----------
     on_first_byte : callable
-        Called when the answer begins.
+        Called when the first byte of the answer arrives.
     """
 
     def __init__(self, on_first_byte: Callable[[], None]) -> None:
-        self._on_begin = on_first_byte
-        self.begun = asyncio.Event()
-        self.begun_s: float | None = None
+        self._on_first_byte = on_first_byte
+        self.first_byte = asyncio.Event()
+        self.first_byte_s: float | None = None
         self.size_bytes = 0
 
-    def begin(self, line: str) -> None:
-        """Take a line of the answer's head."""
-        if self.begun_s is None:
-            self.begun_s = time.monotonic()
-            self.begun.set()
-            self._on_begin()
+    def handle_header_line(self, line: str) -> None:
+        """Record the first byte; called for each header line of the answer."""
+        if self.first_byte_s is None:
+            self.first_byte_s = time.monotonic()
+            self.first_byte.set()
+            self._on_first_byte()
 
 
 async def fetch(
     client: AsyncHTTPClient,
     request: HTTPRequest,
-    begun: asyncio.Event,
+    first_byte: asyncio.Event,
     first_byte_s: float,
 ) -> HTTPResponse:
-    """Fetch, and give up if the answer has not begun in time.
+    """Fetch a URL with a timeout for the first byte of the answer.
 
-    A manifest of a thousand routes takes most of a second over a link of 5 Mbit/s.
-    Were the whole answer to come within the time of a first byte, a router behind
-    such a link would read it over and over and never have it in force.
+    A manifest of a thousand routes takes most of a second over a link of 5 Mbit/s.  If
+    the timeout applied to the whole answer, a router behind such a link would read it
+    again and again and never put it in force.
 
     Raises
     ------
     TimeoutError
-        If the answer has not begun.
+        If the first byte did not arrive in time.
     """
     fetching = asyncio.ensure_future(client.fetch(request, raise_error=False))
-    # Whoever gives up, here or by stopping the router, leaves the client to end the
-    # call at its own timeout; its error would be reported as one nobody looked at.
-    fetching.add_done_callback(_forget)
+    # After a timeout here, or when the router stops, the client ends the call at its
+    # own timeout; its error would be logged as never retrieved.
+    fetching.add_done_callback(_discard_error)
     try:
         async with asyncio.timeout(first_byte_s):
-            await _wait_begun(fetching, begun)
+            await _wait_for_first_byte(fetching, first_byte)
     except TimeoutError:
-        # A process that got no time finds the timeout and the answer together.  Were
-        # it to give up then, it would ask again and again while it is busy, and hear
-        # of nothing.
-        if not begun.is_set() and not fetching.done():
+        # A process that was not scheduled sees the timeout and the answer at once.  If
+        # it raised then, a busy router would repeat the call again and again, and learn
+        # of no change.
+        if not first_byte.is_set() and not fetching.done():
             raise
     return await fetching
 
 
-def make_preparation(max_bytes: int | None) -> Callable[[Any], None]:
-    """Return what sets the options of a call's handle.
+def make_curl_setup(max_bytes: int | None) -> Callable[[Any], None]:
+    """Return a callback that sets the options of a call's curl handle.
 
     Parameters
     ----------
     max_bytes : int or None
-        Longest answer that is read.
+        Size above which an answer is not read; None for no limit.
     """
 
-    def prepare(curl: Any) -> None:
-        # A watch on a connection that has fallen silent would hear of no change until
-        # it times out; pycurl has no option for the number of the kernel's questions.
+    def set_options(curl: Any) -> None:
+        # A watch on a dead connection would get no change until it times out; pycurl
+        # has no option for the number of TCP keepalive probes.
         curl.setopt(pycurl.SOCKOPTFUNCTION, _set_socket_options)
-        # Handles are used again, with the limit of the call before; 0 is none.
+        # Handles are reused and keep the previous call's limit; 0 means none.
         curl.setopt(pycurl.MAXFILESIZE_LARGE, max_bytes or 0)
 
-    return prepare
+    return set_options
 
 
-def _forget(fetching: asyncio.Future[Any]) -> None:
+def _discard_error(fetching: asyncio.Future[Any]) -> None:
     if not fetching.cancelled():
         fetching.exception()
 
 
-async def _wait_begun(fetching: asyncio.Future[Any], begun: asyncio.Event) -> None:
-    waiting = asyncio.ensure_future(begun.wait())
+async def _wait_for_first_byte(
+    fetching: asyncio.Future[Any], first_byte: asyncio.Event
+) -> None:
+    waiting = asyncio.ensure_future(first_byte.wait())
     try:
         await asyncio.wait([fetching, waiting], return_when=asyncio.FIRST_COMPLETED)
     finally:
--- a/tests/test_configuring.py
+++ b/tests/test_configuring.py
@@ -1,4 +1,4 @@
-"""How a router reads the configuration: from the store, from peers, and how much."""
+"""Synchronization of the configuration with the store and with peers."""
 
 import asyncio
 import math
@@ -18,11 +18,11 @@
 from tamarackrill.store_form import Listing, PlatformObject
 
 KIND = "config"
-PATIENCE_S = 10.0
+TIMEOUT_S = 10.0
 
 
 class Store:
-    """A store whose answers begin at once and end when they may."""
+    """A store whose answers begin and end when the test lets them."""
 
     def __init__(self):
         self.version = 1
@@ -59,8 +59,8 @@
     return held.digest(KIND)._replace(complete=version)
 
 
-class Follower:
-    """A configurer with stand-ins around it."""
+class Harness:
+    """A `ConfigurationSync` with a fake store and a fake peer."""
 
     def __init__(self):
         self.store = Store()
@@ -92,7 +92,7 @@
         item = ObjectVersion(kind, "main", version, {"v": version})
         return ChangeSet(kind, (item,), version, False)
 
-    def hear(self, version):
+    def receive_peer_state(self, version):
         digest = ConfigurationDigest(KIND, version, version, version + 1000)
         heard = PeerStateReceived("peer", "peer:1", (digest,), PiggybackedEntries())
         self.configuration_sync.observe_peer_state(heard)
@@ -101,249 +101,249 @@
         digest = make_digest(version)
         self.configuration_sync.observe_evidence("peer", "peer:1", digest, as_of_s)
 
-    async def wait(self, condition):
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_until(self, condition):
+        async with asyncio.timeout(TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(0.001)
 
 
-def play(act):
+def run_scenario(scenario):
     async def run():
-        follower = Follower()
+        harness = Harness()
         try:
-            await act(follower)
+            await scenario(harness)
         finally:
-            await follower.configuration_sync.stop()
+            await harness.configuration_sync.stop()
 
     asyncio.run(run())
 
 
-def test_manifest_that_is_being_read_is_not_pulled_from_a_peer_too():
-    # Many routers are restarted at once, and each reads the manifest from the store.
-    # Each asked a peer for the same hundreds of kilobytes as well; both came over the
-    # same thin link, and the peer's own link was full.  Callers waited, and the next
-    # change of the manifest came late.
-    async def act(follower):
-        follower.store.may_end.clear()
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: follower.configuration_sync._begun_s)
-        follower.hear(1)
-        await follower.wait(lambda: not follower.configuration_sync._pulls)
-        assert not follower.pulled
-        follower.store.may_end.set()
-        await follower.wait(lambda: follower.held.get(KIND, "main"))
-        assert not follower.pulled
-
-    play(act)
-
-
-def test_router_that_starts_lets_the_store_answer_before_it_asks_a_peer():
-    # Half of a fleet is restarted at once.  Each router hears of one that was left
-    # before the store's first byte is there; that one had to send five manifests at
-    # once, and refused its own callers for two seconds.
-    async def act(follower):
-        follower.store.may_begin.clear()
-        follower.store.may_end.clear()
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: follower.store.asked)
-        follower.hear(1)
-        follower.store.may_begin.set()
-        await follower.wait(lambda: not follower.configuration_sync._pulls)
-        assert not follower.pulled
-
-    play(act)
-
-
-def test_router_that_has_started_asks_no_peer_for_what_the_store_has_told():
-    async def act(follower):
-        follower.store.may_begin.clear()
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: follower.store.asked)
-        follower.hear(1)
-        follower.store.may_begin.set()
-        await follower.wait(lambda: follower.held.get(KIND, "main"))
-        await follower.wait(lambda: not follower.configuration_sync._pulls)
-        assert not follower.pulled
-
-    play(act)
-
-
-def test_router_that_holds_nothing_asks_a_peer_while_the_store_is_silent():
-    async def act(follower):
-        follower.store.may_begin.clear()
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: follower.store.asked)
-        follower.hear(1)
-        await follower.wait(lambda: follower.pulled)
-
-    play(act)
-
-
-def test_answer_to_a_call_that_was_given_up_is_not_one_that_is_read():
-    # The store is slow, and a call is given up; its answer comes all the same.  A
-    # router that took it for one being read would ask no peer any more, and send work
-    # to endpoints that have long been leaving.
-    async def act(follower):
-        begins = []
-
-        async def give_up(kind, on_first_byte):
-            begins.append(on_first_byte)
+def test_manifest_being_read_is_not_also_pulled_from_a_peer():
+    # Many routers restart at once, and each reads the manifest from the store.  If each
+    # also pulls the same hundreds of kilobytes from a peer, both transfers share a slow
+    # link and the peer's own link is saturated: callers wait, and the next change of
+    # the manifest is late.
+    async def scenario(harness):
+        harness.store.may_end.clear()
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: harness.configuration_sync._first_byte_s)
+        harness.receive_peer_state(1)
+        await harness.wait_until(lambda: not harness.configuration_sync._pulls)
+        assert not harness.pulled
+        harness.store.may_end.set()
+        await harness.wait_until(lambda: harness.held.get(KIND, "main"))
+        assert not harness.pulled
+
+    run_scenario(scenario)
+
+
+def test_starting_router_waits_for_the_store_before_it_pulls_from_a_peer():
+    # Half of a fleet restarts at once.  Each router learns of one that kept running
+    # before the store's first byte arrives; if all pull, that one sends five manifests
+    # at once and refuses its own callers for two seconds.
+    async def scenario(harness):
+        harness.store.may_begin.clear()
+        harness.store.may_end.clear()
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: harness.store.asked)
+        harness.receive_peer_state(1)
+        harness.store.may_begin.set()
+        await harness.wait_until(lambda: not harness.configuration_sync._pulls)
+        assert not harness.pulled
+
+    run_scenario(scenario)
+
+
+def test_starting_router_does_not_pull_what_the_store_has_delivered():
+    async def scenario(harness):
+        harness.store.may_begin.clear()
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: harness.store.asked)
+        harness.receive_peer_state(1)
+        harness.store.may_begin.set()
+        await harness.wait_until(lambda: harness.held.get(KIND, "main"))
+        await harness.wait_until(lambda: not harness.configuration_sync._pulls)
+        assert not harness.pulled
+
+    run_scenario(scenario)
+
+
+def test_starting_router_pulls_from_a_peer_if_the_store_does_not_answer():
+    async def scenario(harness):
+        harness.store.may_begin.clear()
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: harness.store.asked)
+        harness.receive_peer_state(1)
+        await harness.wait_until(lambda: harness.pulled)
+
+    run_scenario(scenario)
+
+
+def test_late_answer_to_a_timed_out_call_does_not_prevent_pulls():
+    # The store is slow and a call times out, but its answer still arrives.  A router
+    # that counts it as an answer being read would never pull again, and would send
+    # requests to endpoints that have long been leaving.
+    async def scenario(harness):
+        callbacks = []
+
+        async def time_out(kind, on_first_byte):
+            callbacks.append(on_first_byte)
             raise PlatformUnavailable("the answer did not begin in time")
 
-        follower.store.list = give_up
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: begins)
+        harness.store.list = time_out
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: callbacks)
         await asyncio.sleep(0)
-        begins[0]()
-        follower.hear(1)
-        await follower.wait(lambda: follower.pulled)
+        callbacks[0]()
+        harness.receive_peer_state(1)
+        await harness.wait_until(lambda: harness.pulled)
 
-    play(act)
+    run_scenario(scenario)
 
 
-def test_evidence_is_as_old_as_the_beginning_of_the_answer():
-    # An answer of half a megabyte takes more than a second over a thin link.  Taken for
-    # fresh when its last byte comes, it is believed for a second too long, by the whole
-    # zone; a key that was taken away meanwhile goes on being served.
-    async def act(follower):
-        follower.store.may_end.clear()
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: follower.configuration_sync._begun_s)
-        follower.now_s += 1.2
-        follower.store.may_end.set()
-        await follower.wait(lambda: follower.answers)
-        assert follower.answers[0] == (KIND, 100.0)
+def test_evidence_is_dated_before_the_answer_is_read():
+    # An answer of half a megabyte takes more than a second over a slow link.  Dated by
+    # its last byte, it counts as fresh a second too long in the whole zone, and a key
+    # that was revoked meanwhile is still accepted.
+    async def scenario(harness):
+        harness.store.may_end.clear()
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: harness.configuration_sync._first_byte_s)
+        harness.now_s += 1.2
+        harness.store.may_end.set()
+        await harness.wait_until(lambda: harness.answers)
+        assert harness.answers[0] == (KIND, 100.0)
 
-    play(act)
+    run_scenario(scenario)
 
 
-def test_answer_is_told_of_after_what_it_brought_was_taken():
-    # Guards against fresh evidence of what a router held before the answer: whoever
-    # hears it believes that the change has not been made, and passes nothing on.
-    async def act(follower):
+def test_answer_is_reported_after_its_changes_are_applied():
+    # Guards against fresh evidence for the configuration from before the answer: its
+    # receivers would conclude that nothing has changed, and forward no change.
+    async def scenario(harness):
         held = []
-        follower.configuration_sync.on_answer = lambda kind, as_of_s: held.append(
-            follower.held.get_complete(kind)
+        harness.configuration_sync.on_answer = lambda kind, as_of_s: held.append(
+            harness.held.get_complete(kind)
         )
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: held)
-        follower.store.version = 2
-        await follower.wait(lambda: 2 in held)
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: held)
+        harness.store.version = 2
+        await harness.wait_until(lambda: 2 in held)
         assert held[0] == 1
 
-    play(act)
-
-
-def test_router_that_knows_of_a_newer_version_reads_the_newest_alone():
-    # Operators change the manifest five times while a router rests on another's word.
-    # It then read five manifests over its thin link, one after the other, before the
-    # newest was in force.
-    async def act(follower):
-        rest_s = 3600.0
-        follower.configuration_sync.find_poll_delay_s = lambda kind, now_s: rest_s
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: follower.held.get(KIND, "main"))
-        follower.store.version = 6
-        follower.hear(6)
-        await follower.wait(lambda: follower.held.get_complete(KIND) == 6)
-        assert follower.store.asked == ["list", "list"]
-
-    play(act)
-
-
-def test_router_that_has_missed_versions_lists_until_it_has_caught_up():
-    # An answer that holds several versions took long to read, and more were written
-    # meanwhile.  Reading each of them, a router falls further behind.
-    async def act(follower):
-        await follower.configuration_sync.start()
-        await follower.wait(lambda: follower.held.get(KIND, "main"))
-        follower.store.version = 3
-        answered = follower.store.answered
-        await follower.wait(lambda: "watch of 2" in answered)
+    run_scenario(scenario)
+
+
+def test_router_that_knows_of_a_newer_version_reads_only_the_newest():
+    # Operators change the manifest five times while a router relies on another's
+    # evidence.  With a watch it would then read five manifests over its slow link, one
+    # after the other, before the newest is in force.
+    async def scenario(harness):
+        poll_delay_s = 3600.0
+        harness.configuration_sync.find_poll_delay_s = lambda kind, now_s: poll_delay_s
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: harness.held.get(KIND, "main"))
+        harness.store.version = 6
+        harness.receive_peer_state(6)
+        await harness.wait_until(lambda: harness.held.get_complete(KIND) == 6)
+        assert harness.store.asked == ["list", "list"]
+
+    run_scenario(scenario)
+
+
+def test_router_that_missed_versions_lists_until_it_has_caught_up():
+    # An answer with several versions takes long to read, and more are written
+    # meanwhile.  A router that reads every version falls further behind.
+    async def scenario(harness):
+        await harness.configuration_sync.start()
+        await harness.wait_until(lambda: harness.held.get(KIND, "main"))
+        harness.store.version = 3
+        answered = harness.store.answered
+        await harness.wait_until(lambda: "watch of 2" in answered)
         seen = answered.index("watch of 2")
-        await follower.wait(lambda: len(answered) > seen + 2)
+        await harness.wait_until(lambda: len(answered) > seen + 2)
         assert answered[seen + 1 : seen + 3] == ["list of 1", "watch of 0"]
 
-    play(act)
+    run_scenario(scenario)
 
 
-async def start_and_rest(follower):
-    follower.configuration_sync.find_poll_delay_s = lambda kind, now_s: 3600.0
-    await follower.configuration_sync.start()
-    await follower.wait(lambda: follower.held.get(KIND, "main"))
+async def start_with_fresh_evidence(harness):
+    harness.configuration_sync.find_poll_delay_s = lambda kind, now_s: 3600.0
+    await harness.configuration_sync.start()
+    await harness.wait_until(lambda: harness.held.get(KIND, "main"))
 
 
-def test_changed_manifest_comes_from_the_router_that_tells_of_it():
-    # Guards against a call to the store by each router for each change.
-    async def act(follower):
-        await start_and_rest(follower)
-        follower.peer_version = 2
-        follower.observe_evidence(2)
-        await follower.wait(lambda: follower.held.get_complete(KIND) == 2)
-        assert follower.store.asked == ["list"]
+def test_changed_manifest_is_pulled_from_the_router_that_advertises_it():
+    # Guards against one call to the store per router for each change.
+    async def scenario(harness):
+        await start_with_fresh_evidence(harness)
+        harness.peer_version = 2
+        harness.observe_evidence(2)
+        await harness.wait_until(lambda: harness.held.get_complete(KIND) == 2)
+        assert harness.store.asked == ["list"]
 
-    play(act)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("sends", ["nothing new", "nothing at all"])
-def test_store_is_asked_if_the_router_that_tells_does_not_send(sends):
-    # Guards against waiting for a router that is frozen, or that has lost what it told.
-    async def act(follower):
-        await start_and_rest(follower)
-        follower.store.version = 2
+def test_store_is_read_if_the_advertising_router_does_not_send(sends):
+    # Guards against waiting for a peer that is frozen or has lost what it advertised.
+    async def scenario(harness):
+        await start_with_fresh_evidence(harness)
+        harness.store.version = 2
         if sends == "nothing at all":
-            follower.may_send.clear()
-        follower.observe_evidence(2)
-        await follower.wait(lambda: follower.held.get_complete(KIND) == 2)
-        assert follower.store.asked == ["list", "list"]
+            harness.may_send.clear()
+        harness.observe_evidence(2)
+        await harness.wait_until(lambda: harness.held.get_complete(KIND) == 2)
+        assert harness.store.asked == ["list", "list"]
 
-    play(act)
+    run_scenario(scenario)
 
 
 def test_another_change_during_a_pull_is_pulled_next():
-    # Guards against a call to the store by each router when changes come quickly.
-    async def act(follower):
-        await start_and_rest(follower)
-        follower.may_send.clear()
-        follower.peer_version = 2
-        follower.observe_evidence(2)
-        await follower.wait(lambda: follower.pulled)
-        follower.peer_version = 3
-        follower.observe_evidence(3)
-        follower.may_send.set()
-        await follower.wait(lambda: follower.held.get_complete(KIND) == 3)
-        assert follower.store.asked == ["list"]
-
-    play(act)
-
-
-def test_what_the_store_said_before_it_was_lost_does_not_tell_that_it_is_back():
-    # Guards against calls again and again to a store that is down, since bulletins from
-    # before go on arriving.
-    async def act(follower):
+    # Guards against one call to the store per router when changes follow quickly.
+    async def scenario(harness):
+        await start_with_fresh_evidence(harness)
+        harness.may_send.clear()
+        harness.peer_version = 2
+        harness.observe_evidence(2)
+        await harness.wait_until(lambda: harness.pulled)
+        harness.peer_version = 3
+        harness.observe_evidence(3)
+        harness.may_send.set()
+        await harness.wait_until(lambda: harness.held.get_complete(KIND) == 3)
+        assert harness.store.asked == ["list"]
+
+    run_scenario(scenario)
+
+
+def test_evidence_from_before_the_loss_of_the_store_does_not_end_it():
+    # Guards against repeated calls to a store that is down, caused by late bulletins
+    # from before the outage.
+    async def scenario(harness):
         lost = []
-        follower.configuration_sync.on_platform_state = lost.append
-        await start_and_rest(follower)
-        follower.now_s = 110.0
-        follower.configuration_sync._set_platform_lost(lost=True, reason="silent")
-        follower.observe_evidence(1, as_of_s=109.0)
+        harness.configuration_sync.on_platform_state = lost.append
+        await start_with_fresh_evidence(harness)
+        harness.now_s = 110.0
+        harness.configuration_sync._set_platform_lost(lost=True, reason="silent")
+        harness.observe_evidence(1, as_of_s=109.0)
         assert lost[-1]
-        follower.observe_evidence(1, as_of_s=110.5)
+        harness.observe_evidence(1, as_of_s=110.5)
         assert not lost[-1]
 
-    play(act)
+    run_scenario(scenario)
 
 
-def test_store_that_is_lost_is_found_back_with_one_kind_alone():
-    # Guards against twice the calls to a store that is down.
-    async def act(follower):
-        configuration_sync = follower.configuration_sync
+def test_recovery_of_the_store_is_probed_with_one_kind_only():
+    # Guards against doubling the calls to a store that is down.
+    async def scenario(harness):
+        configuration_sync = harness.configuration_sync
         configuration_sync._set_platform_lost(lost=True, reason="silent")
         waiting = asyncio.create_task(
             configuration_sync._pause_before_retry("endpoint", 3600.0)
         )
         await asyncio.sleep(0)
         configuration_sync._set_platform_lost(lost=False)
-        await asyncio.wait_for(waiting, PATIENCE_S)
+        await asyncio.wait_for(waiting, TIMEOUT_S)
 
-    play(act)
+    run_scenario(scenario)
