--- a/tests/test_endpoint_news.py
+++ b/tests/test_endpoint_news.py
@@ -56,8 +56,8 @@
 
 
 def test_reported_failures_are_bounded():
-    # A service goes down and thousands of requests fail at once.  The datagrams between
-    # routers must not grow with the failures.
+    # A service goes down and thousands of requests fail at once.  The size of datagrams
+    # between routers must not grow with the number of failures.
     news = EndpointNews(1, 0)
     for number in range(100):
         for _ in range(300):
@@ -107,8 +107,8 @@
 
 
 def test_news_of_full_endpoints_does_not_raise_estimates_of_others():
-    # Routers report only full endpoints.  If these counted as typical, the others would
-    # be assumed to be as full, and the load bound would rise.
+    # Routers report only full endpoints.  If these counted as typical, the other
+    # endpoints would be assumed equally full, and the load bound would rise.
     loads = Loads()
     loads.observe_report("a", 2, 10.0, 10.0)
     loads.observe_hot_endpoints([EndpointLoad("e", 30)], 10.0)
@@ -116,10 +116,10 @@
 
 
 class Fleet:
-    """Many routers and few engines, each of which reports its load in answers."""
+    """Many routers and a few engines that report their load in answers."""
 
     def __init__(self, routers, engines, has_news, seed):
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.has_news = has_news
         self.engines = EndpointPool(
             Endpoint(f"e{n:02}", "engine", ("m",), "h:1", "z", slots=16)
@@ -139,7 +139,7 @@
         self.above_bound = self.sent = 0
 
     def send(self, session, now_s):
-        name = self.chance.choice(list(self.placements))
+        name = self.rng.choice(list(self.placements))
         placement = self.placements[name]
         request = PlacementRequest(str(self.sent), session)
         choice = placement.choose(request, self.engines, now_s)
@@ -153,7 +153,7 @@
         placement.start(engine, request, now_s)
         first_s = now_s + 0.06
         self.ends.append((first_s, "first", name, engine, choice.bound))
-        until_s = now_s + self.chance.uniform(0.3, 1.5)
+        until_s = now_s + self.rng.uniform(0.3, 1.5)
         self.ends.append((until_s, "end", name, engine, 0))
 
     def advance(self, now_s):
@@ -182,26 +182,26 @@
 
 def simulate(has_news, seed, routers=76, engines=45, calls_per_s=280.0, duration_s=8.0):
     fleet = Fleet(routers, engines, has_news, seed)
-    # A few sessions get most of the requests, some of them at the same engine.
+    # A few sessions get most of the requests, and some share an engine.
     sessions = [f"s{n}" for n in range(200)]
     weights = [1.0 / (n + 1) ** 0.7 for n in range(200)]
     now_s = tick_s = 0.0
     while now_s < duration_s:
-        now_s += fleet.chance.expovariate(calls_per_s)
+        now_s += fleet.rng.expovariate(calls_per_s)
         fleet.advance(now_s)
         if now_s >= tick_s:
             tick_s += TICK_S
             fleet.tick(now_s)
-        fleet.send(fleet.chance.choices(sessions, weights)[0], now_s)
+        fleet.send(fleet.rng.choices(sessions, weights)[0], now_s)
     return fleet
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_hot_sessions_stay_within_the_bound_over_many_routers(seed):
-    # 76 routers send a few hot sessions to the engines that hold them.  Each learns of
-    # such an engine's load once in several seconds and assumes the usual one; together
-    # they send it three times the mean.  No more than 3 % of the requests may reach an
-    # engine above twice the mean plus 3.
+    # 76 routers send a few hot sessions to the engines that hold them.  Each router
+    # learns the load of such an engine only every few seconds and otherwise assumes the
+    # typical one, so that together they send it three times the mean.  At most 3 % of
+    # the requests may reach an engine above twice the mean plus 3.
     alone, together = simulate(False, seed), simulate(True, seed)
     assert alone.above_bound > 0.03 * alone.sent
     assert together.above_bound <= 0.03 * together.sent
--- a/tests/test_known_objects.py
+++ b/tests/test_known_objects.py
@@ -16,7 +16,7 @@
     known.take(ObjectVersion("contract", team, version, value if keys else None))
 
 
-def test_key_follows_each_change_of_the_contract():
+def test_keys_follow_each_change_of_a_contract():
     known = KnownObjects()
     take(known, "a", 1, "old")
     assert find_contract(known.find_holder, "Bearer old").team == "a"
@@ -37,9 +37,9 @@
         find_contract(known.find_holder, "Bearer new")
 
 
-def test_key_of_two_contracts_names_the_same_one_everywhere():
-    # Two operators give one key to two teams at the same moment.  Routers that hear
-    # of the two in another order must still agree whose request it is.
+def test_all_routers_choose_the_same_contract_for_a_key_of_two():
+    # Two operators give the same key to two teams at once.  Routers that receive the
+    # contracts in different orders must attribute a request to the same team.
     for order in (("a", "b"), ("b", "a")):
         known = KnownObjects()
         for version, team in enumerate(order, 1):
--- a/tests/test_platform_client.py
+++ b/tests/test_platform_client.py
@@ -1,4 +1,4 @@
-"""How long a client waits for the store, and how much of an answer it reads."""
+"""Timeouts and size limits of the platform client."""
 
 import asyncio
 import socket
@@ -24,7 +24,7 @@
 
 
 class SlowStore:
-    """A store in a thread of its own, which answers its only call when it may."""
+    """A store in its own thread that answers its only call when the test lets it."""
 
     def __init__(self):
         self._socket = socket.create_server(("127.0.0.1", 0))
@@ -55,10 +55,10 @@
     return PlatformClient(address, "z", client, STORE_FORM, StoreTiming(CALL_S, 1.0))
 
 
-def test_busy_router_takes_an_answer_that_came_while_it_had_no_time():
-    # A router has so much to do that its loop stands still past the timeout of a call.
-    # The store has answered long before.  Given up, the call is made again and again
-    # while the router is busy, and it hears of no change.
+def test_answer_that_arrives_while_the_event_loop_is_blocked_is_used():
+    # A busy router's event loop is blocked past the timeout of a call that the store
+    # answered long before.  If the call timed out, a busy router would repeat it again
+    # and again, and learn of no change.
     store = SlowStore()
 
     async def run():
@@ -81,7 +81,7 @@
         store.close()
 
 
-def test_store_that_is_silent_is_given_up():
+def test_call_to_a_store_that_does_not_answer_times_out():
     store = SlowStore()
 
     async def run():
@@ -97,7 +97,7 @@
         store.close()
 
 
-def test_answer_that_is_longer_than_asked_for_is_not_read():
+def test_answer_above_the_size_limit_is_not_read():
     async def run():
         store = ObjectStore()
         server, address = listen(store.make_application())
@@ -110,7 +110,7 @@
         with pytest.raises(AnswerTooLong):
             await platform.watch("config", 0, 0.0, max_bytes=15_000)
         assert calls[-1].outcome == "too long"
-        # The limit is that of one call and not of its connection.
+        # The limit applies to one call, not to its connection.
         listing = await platform.watch("config", 0, 0.0)
         assert len(listing.items) == 3
         assert listing.size_bytes > 30_000
--- a/tests/test_store_news.py
+++ b/tests/test_store_news.py
@@ -1,4 +1,4 @@
-"""Who asks the store in fleets of all sizes, and when a change is in force."""
+"""Calls to the store and propagation of changes in fleets of all sizes."""
 
 import pytest
 
@@ -15,13 +15,13 @@
     assert max(fleet.find_delays_s(names)) <= PROPAGATION_MAX_S
 
 
-# One watcher's calls, and as many again for those who ask when its word is late.
+# One watcher's calls, and as many again from routers whose evidence is late.
 CALLS_PER_S = 2 / (PROPAGATION_MAX_S / 2)
 
 
 @pytest.mark.parametrize("count", [8, 76, 195, 370])
 def test_calls_to_the_store_do_not_grow_with_the_fleet(count):
-    # Guards against each router asking the store for what one of them knows.
+    # Guards against each router calling the store for what one of them knows.
     fleet = make_fleet(count, [10.0 + 4 * n for n in range(4)])
     fleet.run(25.0)
     check_in_force(fleet)
@@ -30,16 +30,16 @@
 
 @pytest.mark.parametrize("count", [8, 76, 195, 370])
 def test_change_is_in_force_well_before_the_bound_in_a_calm_fleet(count):
-    # Guards against a router that holds a change and does not pass it on at once.
+    # Guards against a router that has a change and does not forward it at once.
     fleet = make_fleet(count, [10.0 + 0.9 * n for n in range(10)])
     fleet.run(24.0)
     assert max(fleet.find_delays_s()) <= PROPAGATION_MAX_S / 4
 
 
 @pytest.mark.parametrize("count", [8, 76, 195, 370])
-def test_no_router_sends_and_hears_more_than_its_share(count):
-    # Guards against a head that tells each router of a large zone by itself.  Control
-    # may take 3 kB/s of a node, of which gossip takes half a kilobyte.
+def test_traffic_per_router_is_bounded(count):
+    # Guards against a head that sends to each router of a large zone itself.  Control
+    # traffic may take 3 kB/s per node, of which gossip takes half a kilobyte.
     fleet = make_fleet(count, [30.0])
     fleet.run(5.0)
     fleet.bytes.clear()
@@ -51,11 +51,11 @@
     ("count", "seed"),
     [(8, 1), (8, 2), (8, 3), (76, 1), (76, 3), (76, 5), (76, 6), (195, 1)],
 )
-def test_fleet_that_starts_at_once_finds_one_watcher_before_it_knows_itself(
+def test_fleet_that_starts_at_once_settles_on_one_watcher_before_all_are_known(
     count, seed
 ):
-    # Guards against each router taking itself for the watcher until gossip has told of
-    # all others, which takes longer the more there are.
+    # Guards against each router considering itself the watcher until it learns of the
+    # others by gossip, which takes longer in a larger fleet.
     fleet = make_fleet(count, [3.0, 5.5, 12.0], knows_all=False, seed=seed)
     fleet.run(20.0)
     check_in_force(fleet)
@@ -64,8 +64,8 @@
 
 
 @pytest.mark.parametrize("who", ["watcher", "heads", "watcher and heads", "contacts"])
-def test_changes_are_in_force_in_time_though_those_who_tell_are_killed(who):
-    # Guards against routers that go on believing the last word of one that is gone.
+def test_changes_are_in_force_in_time_if_the_senders_of_evidence_are_killed(who):
+    # Guards against routers that keep relying on the last evidence of a dead one.
     fleet = make_fleet(76, [12.0 + 0.7 * n for n in range(20)])
     fleet.run(11.5)
     killed = {
@@ -80,19 +80,19 @@
 
 
 @pytest.mark.parametrize("frozen_s", [0.5, 2.0, 5.0])
-def test_changes_are_in_force_in_time_though_the_watcher_is_frozen(frozen_s):
-    # Guards against a watcher that does not run, and is still counted as alive.
+def test_changes_are_in_force_in_time_if_the_watcher_is_frozen(frozen_s):
+    # Guards against a watcher that is frozen but still considered alive.
     fleet = make_fleet(76, [12.0 + 0.7 * n for n in range(12)])
     fleet.run(11.5)
     fleet.frozen = set(fleet.find(lambda w: w.is_watcher))
     fleet.run(11.5 + frozen_s)
-    thawed, fleet.frozen = fleet.frozen, set()
+    resumed, fleet.frozen = fleet.frozen, set()
     fleet.run(26.0)
-    check_in_force(fleet, [n for n in fleet.routers if n not in thawed])
+    check_in_force(fleet, [n for n in fleet.routers if n not in resumed])
 
 
-def test_zone_that_is_cut_off_asks_the_store_by_itself():
-    # Guards against a zone that waits for the word of routers it can't hear.
+def test_partitioned_zone_calls_the_store_itself():
+    # Guards against a zone that waits for evidence from unreachable routers.
     fleet = make_fleet(76, [12.0 + 0.7 * n for n in range(12)])
     fleet.run(11.5)
     fleet.cut_zones = {"zone-2"}
@@ -100,33 +100,33 @@
     check_in_force(fleet)
 
 
-def test_watcher_that_is_turned_away_leaves_the_work_to_others():
-    # Guards against a watcher whom the store refuses: it asks again and again, or the
-    # fleet hears of nothing.
+def test_watcher_that_the_store_refuses_is_replaced():
+    # Guards against a refused watcher that retries again and again, or leaves the fleet
+    # without changes.
     fleet = make_fleet(76, [12.0 + 0.7 * n for n in range(12)])
     fleet.run(11.5)
     fleet.store.turned_away = set(fleet.find(lambda w: w.is_watcher))
     fleet.run(26.0)
     check_in_force(fleet)
     (refused,) = fleet.store.turned_away
-    tries = sum(name == refused and at_s > 15.0 for at_s, name in fleet.store.calls)
-    assert tries <= 6
+    attempts = sum(name == refused and at_s > 15.0 for at_s, name in fleet.store.calls)
+    assert attempts <= 6
 
 
-def test_zones_hear_from_each_other_though_the_store_serves_no_head():
-    # Guards against news that stays in the zone of the router that the store served.
+def test_zones_get_changes_from_each_other_if_the_store_refuses_all_heads():
+    # Guards against changes that stay in the zone of the only router that was served.
     fleet = make_fleet(76, [12.0 + 1.4 * n for n in range(6)])
     fleet.run(11.5)
-    told = fleet.find(lambda watching: watching.is_watcher or watching.is_head)
-    served = next(name for name in fleet.names if name not in told)
+    senders = fleet.find(lambda policy: policy.is_watcher or policy.is_head)
+    served = next(name for name in fleet.names if name not in senders)
     fleet.store.turned_away = set(fleet.names) - {served}
     fleet.run(24.0)
     check_in_force(fleet)
 
 
 @pytest.mark.parametrize("share", [0.33, 0.8])
-def test_routers_that_are_turned_away_hear_from_those_that_are_served(share):
-    # Guards against a third of the fleet that asks again for as long as it is refused.
+def test_refused_routers_get_changes_from_served_ones(share):
+    # Guards against refused routers, a third of the fleet or more, that keep retrying.
     fleet = make_fleet(195, [12.0 + 1.4 * n for n in range(6)])
     fleet.run(11.5)
     fleet.store.turned_away = set(fleet.names[: int(share * len(fleet.names))])
@@ -135,8 +135,8 @@
     assert fleet.count_calls(12.0, 22.0) <= 0.2 * 10 * len(fleet.store.turned_away)
 
 
-def test_store_that_is_down_is_not_asked_by_all_all_the_time():
-    # Guards against a store that comes back to hundreds of calls a second.
+def test_store_that_is_down_gets_few_calls():
+    # Guards against hundreds of calls a second to a store that recovers.
     fleet = make_fleet(195)
     fleet.run(11.5)
     fleet.store.is_down = True
@@ -145,12 +145,12 @@
     fleet.store.acked_s = [21.5]
     fleet.run(28.0)
     check_in_force(fleet)
-    # Fewer than one call a router in each second.
+    # At most half a call per second and router.
     assert fleet.count_calls(15.0, 21.5) <= 0.5 * 6.5 * 195
 
 
-def test_lost_datagrams_cost_few_calls():
-    # Guards against a fleet that asks the store for each datagram that is lost.
+def test_lost_datagrams_cause_few_calls():
+    # Guards against a call to the store for each lost datagram.
     fleet = make_fleet(76, [12.0 + 1.4 * n for n in range(6)], loss=0.1)
     fleet.run(25.0)
     check_in_force(fleet)
