--- a/src/tamarackrill/platform/headers.py
+++ b/src/tamarackrill/platform/headers.py
@@ -43,7 +43,7 @@
 )
 
 
-class CallHeaders(NamedTuple):
+class RequestHeaders(NamedTuple):
     """What the headers of a client's request say.
 
     Parameters
@@ -56,7 +56,7 @@
         Key of the team; empty if there is none.
     last_event_id : int or None
         The client has the events of the stream up to this one.
-    parts : tuple of PromptPart
+    prompt_parts : tuple of PromptPart
         Parts of the prompt, in order; the last is the request's own.
     tokens : int
         Tokens of the prompt.
@@ -68,12 +68,12 @@
     wait_s: float | None
     key: str
     last_event_id: int | None
-    parts: tuple[PromptPart, ...]
+    prompt_parts: tuple[PromptPart, ...]
     tokens: int
     forwarded: tuple[tuple[str, str], ...]
 
 
-class AnswerHeaders(NamedTuple):
+class ResponseHeaders(NamedTuple):
     """What the headers of an endpoint's answer say.
 
     Parameters
@@ -84,7 +84,7 @@
         Whether it carries the proof that an endpoint made it.
     has_not_run : bool
         Whether the endpoint says that it did not run the request.
-    is_encoded : bool
+    has_content_encoding : bool
         Whether the body is not the endpoint's own.
     load : int or None
         Requests that run and wait there, if it says.
@@ -97,22 +97,22 @@
     request_id: str
     is_signed: bool
     has_not_run: bool
-    is_encoded: bool
+    has_content_encoding: bool
     load: int | None
     idle_max_s: float | None
     is_event_stream: bool
 
 
-def read_call(headers: HTTPHeaders) -> CallHeaders:
+def parse_request_headers(headers: HTTPHeaders) -> RequestHeaders:
     """Return what a client's headers say; what can't be read counts as left out."""
     wait_ms = _read_number(headers.get("X-Deadline-Ms"))
     last_id = _read_number(headers.get("Last-Event-Id"))
-    return CallHeaders(
+    return RequestHeaders(
         request_id=headers.get("X-Request-Attempt-Id", ""),
         wait_s=None if wait_ms is None else wait_ms / 1000,
         key=headers.get("X-Api-Key", ""),
         last_event_id=None if last_id is None else int(last_id),
-        parts=_read_parts(headers.get("X-Prompt-Prefix", "")),
+        prompt_parts=_read_parts(headers.get("X-Prompt-Prefix", "")),
         # The first number is the prompt; the second bounds the answer.
         tokens=int(
             _read_number(headers.get("X-Token-Count", "").partition(",")[0]) or 0
@@ -122,12 +122,12 @@
 
 
 def _read_parts(text: str) -> tuple[PromptPart, ...]:
-    parts = []
+    prompt_parts = []
     for entry in text.split(","):
         name, _, tokens = entry.strip().partition(":")
         if name:
-            parts.append(PromptPart(name, int(_read_number(tokens) or 0)))
-    return tuple(parts)
+            prompt_parts.append(PromptPart(name, int(_read_number(tokens) or 0)))
+    return tuple(prompt_parts)
 
 
 def _read_number(text: str | None) -> float | None:
@@ -148,8 +148,8 @@
             yield name, value
 
 
-def write_request(
-    call: CallHeaders,
+def build_request_headers(
+    call: RequestHeaders,
     endpoint_id: str,
     team: str | None,
     time_left_s: float,
@@ -162,7 +162,7 @@
 
     Parameters
     ----------
-    call : CallHeaders
+    call : RequestHeaders
         What the client sent.
     endpoint_id : str
         Any other endpoint that has the address by now answers 421.
@@ -196,14 +196,14 @@
     return headers
 
 
-def read_answer(headers: Mapping[str, str]) -> AnswerHeaders:
+def parse_response_headers(headers: Mapping[str, str]) -> ResponseHeaders:
     """Return what an endpoint's headers say; their names are in lower case."""
     kind = headers.get("content-type", "")
-    return AnswerHeaders(
+    return ResponseHeaders(
         request_id=headers.get("x-request-attempt-id", ""),
         is_signed="x-response-signature" in headers,
         has_not_run="x-not-executed" in headers,
-        is_encoded="content-encoding" in headers,
+        has_content_encoding="content-encoding" in headers,
         load=_read_load(headers.get("x-instance-load", "")),
         idle_max_s=_read_idle(headers.get("keep-alive", "")),
         is_event_stream=kind.startswith("text/event-stream"),
@@ -227,7 +227,7 @@
     return None
 
 
-def list_passed_back(
+def filter_response_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[str, str]]:
     """Return an endpoint's headers that its client gets, unchanged."""
@@ -238,7 +238,7 @@
     ]
 
 
-def write_refusal(request_id: str, retry_after_s: float | None) -> dict[str, str]:
+def build_error_headers(request_id: str, retry_after_s: float | None) -> dict[str, str]:
     """Return the headers of an answer of the router's own."""
     headers = {"Content-Type": "application/json"}
     if request_id:
--- a/src/tamarackrill/platform/settings_file.py
+++ b/src/tamarackrill/platform/settings_file.py
@@ -7,7 +7,7 @@
 from tamarackrill.decisions.retry_shares import BudgetTerms
 from tamarackrill.exceptions import Finding, FindingsError
 
-PATH_VARIABLE = "TAMARACKRILL_SETTINGS"
+SETTINGS_PATH_VARIABLE = "TAMARACKRILL_SETTINGS"
 BYTES_PER_MBIT = 125_000.0
 DEFAULT_LINK_MBPS = 1000.0
 PORT_MAX = 65535
@@ -66,7 +66,7 @@
     link_bytes_per_s: float = DEFAULT_LINK_MBPS * BYTES_PER_MBIT
     source: str = ""
 
-    def find_place(self, field: str) -> str:
+    def get_field_location(self, field: str) -> str:
         """Return where the file holds the address of a field."""
         return f"{self.source}: {_KEYS[field]}"
 
--- a/src/tamarackrill/protocol/bulletin_codec.py
+++ b/src/tamarackrill/protocol/bulletin_codec.py
@@ -10,14 +10,14 @@
 from tamarackrill.decisions.watching import Bulletin, Evidence
 from tamarackrill.protocol import structs
 from tamarackrill.protocol.codec import (
-    DIGEST_BYTES,
+    MAC_BYTES,
     from_signed,
     sign,
     to_signed,
     verify,
 )
 
-_CONTEXT = b"bulletin\0"
+_DOMAIN_SEPARATOR = b"bulletin\0"
 
 
 def encode_bulletin(bulletin: Bulletin, keys: tuple[str, ...]) -> bytes:
@@ -35,13 +35,13 @@
     buffer = TMemoryBuffer()
     struct.write(TCompactProtocol(buffer))
     payload = buffer.getvalue()
-    return sign(_CONTEXT + payload, keys[0]) + payload
+    return sign(_DOMAIN_SEPARATOR + payload, keys[0]) + payload
 
 
 def decode_bulletin(datagram: bytes, keys: tuple[str, ...]) -> Bulletin | None:
     """Return the bulletin of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:DIGEST_BYTES], datagram[DIGEST_BYTES:]
-    if not verify(digest, _CONTEXT + payload, keys):
+    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
         return None
     struct = structs.Bulletin()
     try:
--- a/src/tamarackrill/protocol/codec.py
+++ b/src/tamarackrill/protocol/codec.py
@@ -28,10 +28,10 @@
 
 # 128 bits cannot be guessed over a network, and leave 16 bytes more of the budget
 # than the whole digest.
-DIGEST_BYTES = 16
+MAC_BYTES = 16
 # The digest covers this word, as that of the other messages covers one of its own, so
 # that none is taken for one of another protocol with the same keys.
-_CONTEXT = b"gossip\0"
+_DOMAIN_SEPARATOR = b"gossip\0"
 _I64_MODULUS = 1 << 64
 _I64_LIMIT = 1 << 63
 
@@ -52,7 +52,7 @@
 
 def sign(payload: bytes, key: str) -> bytes:
     """Return the keyed digest of a payload."""
-    return hmac.digest(key.encode(), payload, hashlib.sha256)[:DIGEST_BYTES]
+    return hmac.digest(key.encode(), payload, hashlib.sha256)[:MAC_BYTES]
 
 
 def verify(digest: bytes, payload: bytes, keys: tuple[str, ...]) -> bool:
@@ -70,7 +70,7 @@
     buffer = TMemoryBuffer()
     _to_struct(message).write(TCompactProtocol(buffer))
     payload = buffer.getvalue()
-    return sign(_CONTEXT + payload, keys[0]) + payload
+    return sign(_DOMAIN_SEPARATOR + payload, keys[0]) + payload
 
 
 def decode_gossip(datagram: bytes, keys: tuple[str, ...]) -> Gossip:
@@ -81,8 +81,8 @@
     InvalidMessage
         If no key proves it, or it holds no message.
     """
-    digest, payload = datagram[:DIGEST_BYTES], datagram[DIGEST_BYTES:]
-    if not verify(digest, _CONTEXT + payload, keys):
+    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
         raise InvalidMessage("stranger")
     struct = structs.Gossip()
     try:
@@ -139,7 +139,7 @@
 
 def _from_struct(struct: Any) -> Gossip:
     return Gossip(
-        need_text(struct.sender),
+        require_text(struct.sender),
         struct.session + 0,
         struct.sequence + 0,
         Purpose(struct.purpose),
@@ -156,7 +156,7 @@
 
 def _read_record(struct: Any) -> MemberRecord:
     return MemberRecord(
-        need_text(struct.name),
+        require_text(struct.name),
         struct.incarnation + 0,
         MemberState(struct.state),
         struct.zone or "",
@@ -167,7 +167,7 @@
 
 def _read_digest(struct: Any) -> ConfigurationDigest:
     return ConfigurationDigest(
-        need_text(struct.kind),
+        require_text(struct.kind),
         struct.complete + 0,
         struct.newest + 0,
         from_signed(struct.content),
@@ -176,7 +176,7 @@
 
 def _read_entries(struct: Any) -> PiggybackedEntries:
     loads = [
-        EndpointLoad(need_text(item.endpoint), item.in_flight + 0)
+        EndpointLoad(require_text(item.endpoint), item.in_flight + 0)
         for item in struct.loads or ()
     ]
     crashes = [
@@ -192,7 +192,7 @@
     return value or b""
 
 
-def need_text(value: object) -> str:
+def require_text(value: object) -> str:
     """Return a text field; raises if it is missing or empty."""
     if not isinstance(value, str) or not value:
         raise ValueError("a text is missing")
--- a/src/tamarackrill/protocol/news_codec.py
+++ b/src/tamarackrill/protocol/news_codec.py
@@ -11,28 +11,28 @@
 from tamarackrill.decisions.loads import EndpointLoad
 from tamarackrill.decisions.placement_news import Entry, Holding, News, Stage
 from tamarackrill.protocol import structs
-from tamarackrill.protocol.codec import DIGEST_BYTES, need_text, sign, verify
+from tamarackrill.protocol.codec import MAC_BYTES, require_text, sign, verify
 
-_CONTEXT = b"placements\0"
+_DOMAIN_SEPARATOR = b"placements\0"
 _KEY_BYTES = 8
 _E = TypeVar("_E")
 
 
 def encode_news(news: News, keys: tuple[str, ...]) -> bytes:
     """Return the datagram of news, signed with the first key."""
-    payload = write_news(news)
-    return sign(_CONTEXT + payload, keys[0]) + payload
+    payload = serialize_news(news)
+    return sign(_DOMAIN_SEPARATOR + payload, keys[0]) + payload
 
 
 def decode_news(datagram: bytes, keys: tuple[str, ...]) -> News | None:
     """Return the news of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:DIGEST_BYTES], datagram[DIGEST_BYTES:]
-    if not verify(digest, _CONTEXT + payload, keys):
+    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
         return None
-    return read_news(payload)
+    return deserialize_news(payload)
 
 
-def write_news(news: News) -> bytes:
+def serialize_news(news: News) -> bytes:
     """Return news without a proof."""
     struct = structs.PlacementNews(
         sender=news.sender,
@@ -56,7 +56,7 @@
     return bytes(buffer.getvalue())
 
 
-def read_news(payload: bytes) -> News | None:
+def deserialize_news(payload: bytes) -> News | None:
     """Return news, or None if these bytes hold none."""
     struct = structs.PlacementNews()
     try:
@@ -66,8 +66,10 @@
         ]
         entries += [_read_full(item) for item in struct.full or ()]
         entries += [_read_failing(item) for item in struct.failing or ()]
-        entries += [MisplacedReport(need_text(name)) for name in struct.misplaced or ()]
-        return News(need_text(struct.sender), Stage(struct.stage), tuple(entries))
+        entries += [
+            MisplacedReport(require_text(name)) for name in struct.misplaced or ()
+        ]
+        return News(require_text(struct.sender), Stage(struct.stage), tuple(entries))
     # The parser raises whatever the bytes lead it to; a peer of a later release must
     # not be able to end the task that reads the socket.
     except Exception:
@@ -85,12 +87,12 @@
 
 
 def _read_full(struct: Any) -> EndpointLoad:
-    return EndpointLoad(need_text(struct.endpoint), max(0, struct.in_flight + 0))
+    return EndpointLoad(require_text(struct.endpoint), max(0, struct.in_flight + 0))
 
 
 def _read_failing(struct: Any) -> FailureReport:
     return FailureReport(
-        need_text(struct.endpoint),
+        require_text(struct.endpoint),
         struct.teller + 0,
         struct.sequence + 0,
         max(0, struct.failed + 0),
@@ -98,7 +100,7 @@
 
 
 def _read_holdings(struct: Any) -> list[Holding]:
-    engine = need_text(struct.engine)
+    engine = require_text(struct.engine)
     if len(struct.keys) != _KEY_BYTES * len(struct.tokens):
         raise ValueError("not as many keys as tokens")
     starts = range(0, len(struct.keys), _KEY_BYTES)
--- a/src/tamarackrill/protocol/owner_codec.py
+++ b/src/tamarackrill/protocol/owner_codec.py
@@ -10,9 +10,9 @@
 from thriftpy2.transport import TMemoryBuffer
 
 from tamarackrill.protocol import structs
-from tamarackrill.protocol.codec import DIGEST_BYTES, sign, verify
+from tamarackrill.protocol.codec import MAC_BYTES, sign, verify
 
-_CONTEXT = b"owners\0"
+_DOMAIN_SEPARATOR = b"owners\0"
 
 
 class Ask(NamedTuple):
@@ -64,13 +64,13 @@
     buffer = TMemoryBuffer()
     structs.OwnerMessage(**{name.lower(): struct}).write(TCompactProtocol(buffer))
     payload = buffer.getvalue()
-    return sign(_CONTEXT + payload, keys[0]) + payload
+    return sign(_DOMAIN_SEPARATOR + payload, keys[0]) + payload
 
 
 def decode_owner_message(datagram: bytes, keys: tuple[str, ...]) -> OwnerMessage | None:
     """Return the message of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:DIGEST_BYTES], datagram[DIGEST_BYTES:]
-    if not verify(digest, _CONTEXT + payload, keys):
+    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
         return None
     struct = structs.OwnerMessage()
     try:
--- a/src/tamarackrill/protocol/usage_codec.py
+++ b/src/tamarackrill/protocol/usage_codec.py
@@ -12,10 +12,10 @@
 
 from tamarackrill.decisions.limits import TeamUsage, UsageScope
 from tamarackrill.protocol import structs
-from tamarackrill.protocol.codec import DIGEST_BYTES, need_text, sign, verify
+from tamarackrill.protocol.codec import MAC_BYTES, require_text, sign, verify
 
 _SCOPES: tuple[UsageScope, ...] = ("router", "zone", "other_routers", "other_zones")
-_CONTEXT = b"usage\0"
+_DOMAIN_SEPARATOR = b"usage\0"
 
 
 class UsageMessage(NamedTuple):
@@ -43,13 +43,13 @@
     struct = structs.UsageMessage(message.sender, message.sequence, usages)
     struct.write(TCompactProtocol(buffer))
     payload = buffer.getvalue()
-    return sign(_CONTEXT + payload, keys[0]) + payload
+    return sign(_DOMAIN_SEPARATOR + payload, keys[0]) + payload
 
 
 def decode_usage(datagram: bytes, keys: tuple[str, ...]) -> UsageMessage | None:
     """Return the message of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:DIGEST_BYTES], datagram[DIGEST_BYTES:]
-    if not verify(digest, _CONTEXT + payload, keys):
+    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
         return None
     struct = structs.UsageMessage()
     try:
@@ -76,9 +76,9 @@
 
 def _read_usage(struct: Any) -> TeamUsage:
     return TeamUsage(
-        need_text(struct.team),
+        require_text(struct.team),
         _SCOPES[struct.scope],
-        need_text(struct.origin),
+        require_text(struct.origin),
         struct.requests_milli_per_s / 1000,
         float(struct.tokens_per_s),
         struct.in_flight + 0,
--- a/src/tamarackrill/router/edge_app.py
+++ b/src/tamarackrill/router/edge_app.py
@@ -182,7 +182,7 @@
         settings = self.settings
         self._peer_socket = PeerSocket(self.metrics.count)
         peer_address = f"{settings.ip}:{settings.peer_port}"
-        with report_unusable(settings.find_place("peer_port"), peer_address):
+        with report_unusable(settings.get_field_location("peer_port"), peer_address):
             await self._peer_socket.start(settings.ip, settings.peer_port)
         self._store_client = CurlAsyncHTTPClient(force_instance=True)
         self._router_client = make_client()
@@ -240,13 +240,13 @@
         peers = Application(handlers)
         settings = self.settings
         peer_address = f"{settings.ip}:{settings.peer_port}"
-        self._listen(peers, peer_address, settings.find_place("peer_port"))
+        self._listen(peers, peer_address, settings.get_field_location("peer_port"))
         metrics = make_metrics_page(self.metrics)
         self._listen(metrics, f"{settings.ip}:{self._metrics_port}", "metrics port")
 
     def _listen_readiness(self) -> None:
         question = make_readiness_page(self.is_ready)
-        place = self.settings.find_place("readiness_address")
+        place = self.settings.get_field_location("readiness_address")
         self._listen(question, self.settings.readiness_address, place)
 
     def _listen(self, application: Application, address: str, place: str) -> None:
--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -14,10 +14,10 @@
 from tamarackrill.decisions.event_stream import EventStream, EventStreamError
 from tamarackrill.events import CALL_SENT, log_event
 from tamarackrill.platform.headers import (
-    AnswerHeaders,
-    list_passed_back,
-    read_answer,
-    write_request,
+    ResponseHeaders,
+    build_request_headers,
+    filter_response_headers,
+    parse_response_headers,
 )
 from tamarackrill.router.channel_pool import ChannelPool
 from tamarackrill.router.channels import (
@@ -225,7 +225,7 @@
         call = progress.call
         has_body = bool(call.body) or call.method in ("POST", "PUT", "PATCH")
         source = placed.copy_from
-        headers = write_request(
+        headers = build_request_headers(
             call.headers,
             placed.endpoint.name,
             call.team,
@@ -239,10 +239,10 @@
 
     async def _read_own_head(
         self, call: EdgeCall, channel: Channel
-    ) -> tuple[AnswerHead, AnswerHeaders]:
+    ) -> tuple[AnswerHead, ResponseHeaders]:
         for _ in range(FOREIGN_ANSWERS_MAX + 1):
             head = await channel.read_head()
-            facts = read_answer(head.by_name)
+            facts = parse_response_headers(head.by_name)
             if facts.request_id == call.request_id:
                 return head, facts
             # On a new connection a refusal without an id can be of no other request.
@@ -258,14 +258,14 @@
         placed: EdgePlaced,
         channel: Channel,
         head: AnswerHead,
-        facts: AnswerHeaders,
+        facts: ResponseHeaders,
     ) -> Result:
         if head.status == MISPLACED or facts.has_not_run:
             await _read_body(channel)
             outcome: Outcome = "misplaced" if head.status == MISPLACED else "not_run"
             return Result(outcome, f"status {head.status}")
         is_ok = OK_MIN <= head.status <= OK_MAX
-        if is_ok and (not facts.is_signed or facts.is_encoded):
+        if is_ok and (not facts.is_signed or facts.has_content_encoding):
             raise ChannelBroken("an answer without proof or with an encoding")
         if is_ok and facts.is_event_stream:
             await self._relay(progress, placed, channel, head)
@@ -276,7 +276,9 @@
             return Result("failed", f"status {head.status}", whole)
         if progress.reply.has_begun:
             raise ChannelBroken(f"a stream went on with status {head.status}")
-        await progress.reply.begin(head.status, list_passed_back(head.headers), body)
+        await progress.reply.begin(
+            head.status, filter_response_headers(head.headers), body
+        )
         return Result("answered")
 
     async def _relay(
@@ -296,7 +298,9 @@
             events = stream.take(piece) if piece else stream.finish()
             if events or not piece:
                 if not reply.has_begun:
-                    await reply.begin(head.status, list_passed_back(head.headers))
+                    await reply.begin(
+                        head.status, filter_response_headers(head.headers)
+                    )
                 if events:
                     await reply.write(events)
                     now_s = self._clock()
--- a/src/tamarackrill/router/edge_calls.py
+++ b/src/tamarackrill/router/edge_calls.py
@@ -5,7 +5,7 @@
 
 from tamarackrill.decisions.manifests import Route
 from tamarackrill.decisions.prompts import Prefix, list_prefixes
-from tamarackrill.platform.headers import CallHeaders
+from tamarackrill.platform.headers import RequestHeaders
 
 FINGERPRINT_BYTES = 8
 
@@ -17,7 +17,7 @@
     ----------
     method, target : str
         As the client sent them; the target holds the query.
-    headers : CallHeaders
+    headers : RequestHeaders
         What its headers say.
     body : bytes
         The whole body.
@@ -41,7 +41,7 @@
 
     method: str
     target: str
-    headers: CallHeaders
+    headers: RequestHeaders
     body: bytes
     route: Route
     service: str
@@ -76,7 +76,7 @@
         return int.from_bytes(digest.digest())
 
 
-def find_shared_prefixes(route: Route, headers: CallHeaders) -> tuple[Prefix, ...]:
+def find_shared_prefixes(route: Route, headers: RequestHeaders) -> tuple[Prefix, ...]:
     """Return the beginnings of a prompt that other requests have too.
 
     The last part of a prompt is the request's own; the one before it is that of the
@@ -84,4 +84,4 @@
     """
     if not route.has_affinity:
         return ()
-    return list_prefixes(headers.parts[:-1] or headers.parts)
+    return list_prefixes(headers.prompt_parts[:-1] or headers.prompt_parts)
--- a/src/tamarackrill/router/edge_daemon.py
+++ b/src/tamarackrill/router/edge_daemon.py
@@ -23,7 +23,7 @@
     check_usable(list_uses(options))
     settings = options.settings
     address = settings.callers_address
-    with report_unusable(settings.find_place("callers_address"), address):
+    with report_unusable(settings.get_field_location("callers_address"), address):
         listener = open_listener(address)
 
     from tamarackrill.router.edge_process import run
--- a/src/tamarackrill/router/edge_flow.py
+++ b/src/tamarackrill/router/edge_flow.py
@@ -21,8 +21,8 @@
 )
 from tamarackrill.exceptions import Refusal
 from tamarackrill.platform.headers import (
-    list_passed_back,
-    write_refusal,
+    build_error_headers,
+    filter_response_headers,
 )
 from tamarackrill.router.edge_attempts import EdgeAttempts, Progress, Result
 from tamarackrill.router.edge_calls import EdgeCall
@@ -204,7 +204,7 @@
             answer = progress.failed_answer
             await reply.begin(
                 answer.head.status,
-                list_passed_back(answer.head.headers),
+                filter_response_headers(answer.head.headers),
                 answer.body,
             )
             self._metrics.count("calls_failed", "endpoint")
@@ -256,7 +256,7 @@
         sent=sent,
         retry_after_s=retry_after_s,
     )
-    headers = write_refusal(call.request_id, retry_after_s)
+    headers = build_error_headers(call.request_id, retry_after_s)
     body = b'{"error": "%s"}\n' % reason.encode()
     try:
         await reply.begin(status, list(headers.items()), body)
--- a/src/tamarackrill/router/edge_options.py
+++ b/src/tamarackrill/router/edge_options.py
@@ -6,8 +6,8 @@
 
 from tamarackrill.exceptions import Finding, FindingsError
 from tamarackrill.platform.settings_file import (
-    PATH_VARIABLE,
     PORT_MAX,
+    SETTINGS_PATH_VARIABLE,
     PlatformSettings,
     is_address,
     parse_settings,
@@ -52,14 +52,14 @@
     FindingsError
         With all faults of the environment, or else of the file.
     """
-    path = os.environ.get(PATH_VARIABLE, "")
+    path = os.environ.get(SETTINGS_PATH_VARIABLE, "")
     keys = os.environ.get(PEER_KEYS_VARIABLE, "").split(",")
     peer_keys = tuple(key.strip() for key in keys if key.strip())
     port = os.environ.get(METRICS_PORT_VARIABLE, str(METRICS_PORT))
     peer_address = os.environ.get(PEER_ADDRESS_VARIABLE, "")
     findings = []
     if not path:
-        findings.append(Finding(PATH_VARIABLE, "is not set"))
+        findings.append(Finding(SETTINGS_PATH_VARIABLE, "is not set"))
     if not peer_keys:
         findings.append(Finding(PEER_KEYS_VARIABLE, "holds no key"))
     if not port.isdigit() or not 0 < int(port) <= PORT_MAX:
@@ -77,10 +77,12 @@
     """Return all addresses that a router listens at."""
     settings = options.settings
     peer_address = f"{settings.ip}:{settings.peer_port}"
-    peers = settings.find_place("peer_port")
+    peers = settings.get_field_location("peer_port")
     return [
-        Use(settings.find_place("callers_address"), settings.callers_address),
-        Use(settings.find_place("readiness_address"), settings.readiness_address),
+        Use(settings.get_field_location("callers_address"), settings.callers_address),
+        Use(
+            settings.get_field_location("readiness_address"), settings.readiness_address
+        ),
         Use(peers, peer_address),
         Use(peers, peer_address, socket.SOCK_DGRAM),
         Use(METRICS_PORT_VARIABLE, f"{settings.ip}:{options.metrics_port}"),
--- a/src/tamarackrill/router/edge_server.py
+++ b/src/tamarackrill/router/edge_server.py
@@ -22,7 +22,11 @@
     choose_service,
 )
 from tamarackrill.events import CALL_LEFT, CALL_REFUSED, TASK_FAILED, log_event
-from tamarackrill.platform.headers import CallHeaders, read_call, write_refusal
+from tamarackrill.platform.headers import (
+    RequestHeaders,
+    build_error_headers,
+    parse_request_headers,
+)
 from tamarackrill.router.deployment_view import DeploymentView
 from tamarackrill.router.edge_calls import EdgeCall, find_shared_prefixes
 from tamarackrill.router.edge_flow import EdgeFlow
@@ -137,7 +141,7 @@
         self,
         line: RequestStartLine,
         host: str,
-        headers: CallHeaders,
+        headers: RequestHeaders,
         body: bytes,
         arrived_s: float,
     ) -> EdgeCall:
@@ -185,7 +189,7 @@
         )
 
     def _find_team(
-        self, table: RouteTable, route: Route, headers: CallHeaders
+        self, table: RouteTable, route: Route, headers: RequestHeaders
     ) -> TeamKeys | None:
         if not table.needs_keys:
             return None
@@ -279,7 +283,7 @@
                 reply.cut()
 
     async def _answer(self, reply: EdgeReply) -> None:
-        headers = read_call(self._headers)
+        headers = parse_request_headers(self._headers)
         try:
             self._check_head()
             self._call = self._server.match(
@@ -318,6 +322,6 @@
             retry_after_s=denied.retry_after_s,
         )
         self._server.metrics.count_refusal(denied.reason)
-        headers = write_refusal(request_id, denied.retry_after_s)
+        headers = build_error_headers(request_id, denied.retry_after_s)
         body = b'{"error": "%s"}\n' % denied.reason.encode()
         await reply.begin(denied.status, list(headers.items()), body)
--- a/src/tamarackrill/router/placement_telling.py
+++ b/src/tamarackrill/router/placement_telling.py
@@ -24,9 +24,9 @@
 )
 from tamarackrill.protocol.news_codec import (
     decode_news,
+    deserialize_news,
     encode_news,
-    read_news,
-    write_news,
+    serialize_news,
 )
 from tamarackrill.router.background import log_failure
 from tamarackrill.router.members import Member, Members
@@ -120,7 +120,7 @@
         entries = tuple(
             Holding(h.endpoint, key, h.tokens) for key, h in reversed(found)
         )
-        return write_news(News(self._members.own.name, Stage.TO_ROUTER, entries))
+        return serialize_news(News(self._members.own.name, Stage.TO_ROUTER, entries))
 
     def take_datagram(self, datagram: bytes, source: str) -> bool:
         """Take a datagram; return whether it held news of placements."""
@@ -199,7 +199,7 @@
 
     async def _learn_from(self, teacher: Member) -> bool:
         try:
-            news = read_news(await self._pull(teacher.peer_address))
+            news = deserialize_news(await self._pull(teacher.peer_address))
         except PeerUnavailable as error:
             log_event(PLACEMENTS_NOT_LEARNED, peer=teacher.name, reason=error.message)
             return False
--- a/tests/test_news_codec.py
+++ b/tests/test_news_codec.py
@@ -14,7 +14,7 @@
     Stage,
 )
 from tamarackrill.protocol import structs
-from tamarackrill.protocol.news_codec import decode_news, encode_news, read_news
+from tamarackrill.protocol.news_codec import decode_news, deserialize_news, encode_news
 
 KEYS = ("a key", "an older key")
 HELD = Holding("i-7f3a91c2d4", "00ff7f80c3a9e282", 9000)
@@ -65,7 +65,7 @@
     struct.full = struct.failing = struct.misplaced = None
     buffer = TMemoryBuffer()
     struct.write(TCompactProtocol(buffer))
-    assert read_news(bytes(buffer.getvalue())) == News("r", Stage.TO_HUB, ())
+    assert deserialize_news(bytes(buffer.getvalue())) == News("r", Stage.TO_HUB, ())
 
 
 @pytest.mark.parametrize(
@@ -111,4 +111,4 @@
     struct = structs.PlacementNews(sender="r", stage=0, holdings=[holdings])
     buffer = TMemoryBuffer()
     struct.write(TCompactProtocol(buffer))
-    assert read_news(bytes(buffer.getvalue())) is None
+    assert deserialize_news(bytes(buffer.getvalue())) is None
--- a/tests/test_owners.py
+++ b/tests/test_owners.py
@@ -9,7 +9,7 @@
 from tamarackrill.decisions.reservations import find_owner
 from tamarackrill.decisions.routing import compute_bound
 from tamarackrill.protocol import owner_codec as codec
-from tamarackrill.protocol.codec import DIGEST_BYTES, sign
+from tamarackrill.protocol.codec import MAC_BYTES, sign
 from tamarackrill.router.load_reports import LoadReader
 from tamarackrill.router.members import Member, Members
 from tamarackrill.router.owners import UNCOUNTED, Owners
@@ -43,7 +43,7 @@
 def test_proof_of_another_kind_of_message_is_not_taken():
     # Gossip comes in by the same socket with the same keys.  A datagram of it that
     # happened to parse would reserve or release what nobody asked for.
-    payload = codec.encode_owner_message(MESSAGES[2], KEYS)[DIGEST_BYTES:]
+    payload = codec.encode_owner_message(MESSAGES[2], KEYS)[MAC_BYTES:]
     assert codec.decode_owner_message(sign(payload, KEYS[0]) + payload, KEYS) is None
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,11 +8,11 @@
 
 from tamarackrill.exceptions import FindingsError
 from tamarackrill.platform.headers import (
-    list_passed_back,
-    read_answer,
-    read_call,
-    write_refusal,
-    write_request,
+    build_error_headers,
+    build_request_headers,
+    filter_response_headers,
+    parse_request_headers,
+    parse_response_headers,
 )
 from tamarackrill.platform.objects import read_manifest
 from tamarackrill.platform.settings_file import parse_settings
@@ -129,7 +129,7 @@
 
 
 def test_head_of_a_request_is_read():
-    call = read_call(
+    call = parse_request_headers(
         HTTPHeaders(
             {
                 "X-Request-Attempt-Id": "9c41",
@@ -146,7 +146,7 @@
         )
     )
     assert call.wait_s == 1.5
-    assert call.parts == (("5c1e", 800), ("91bd", 410), ("e440", 250))
+    assert call.prompt_parts == (("5c1e", 800), ("91bd", 410), ("e440", 250))
     assert call.tokens == 1460
     assert call.last_event_id == 12
     assert {name for name, _ in call.forwarded} == {
@@ -161,7 +161,7 @@
 def test_numbers_that_are_not_finite_are_left_out(text):
     # A client sends nonsense where a number stands.  Reading it must not end in a fault
     # of the router's own, which would cut the connection without an answer.
-    call = read_call(
+    call = parse_request_headers(
         HTTPHeaders(
             {
                 "X-Deadline-Ms": text,
@@ -172,18 +172,18 @@
         )
     )
     assert (call.wait_s, call.last_event_id, call.tokens) == (None, None, 0)
-    assert call.parts == (("5c1e", 0),)
+    assert call.prompt_parts == (("5c1e", 0),)
 
 
 @pytest.mark.parametrize("text", ["", "soon", "-5"])
 def test_deadline_that_cannot_be_read_is_none_or_now(text):
-    call = read_call(HTTPHeaders({"X-Deadline-Ms": text}))
+    call = parse_request_headers(HTTPHeaders({"X-Deadline-Ms": text}))
     assert call.wait_s in (None, 0.0)
 
 
 def test_request_to_an_endpoint_names_it_and_the_team():
-    call = read_call(HTTPHeaders({"X-Model": "m", "X-Tenant-Id": "forged"}))
-    headers = dict(write_request(call, "i-1", "team", 1.25, 3, 7))
+    call = parse_request_headers(HTTPHeaders({"X-Model": "m", "X-Tenant-Id": "forged"}))
+    headers = dict(build_request_headers(call, "i-1", "team", 1.25, 3, 7))
     assert headers["X-Expect-Instance"] == "i-1"
     assert headers["X-Tenant-Id"] == "team"
     assert headers["X-Deadline-Ms"] == "1250"
@@ -193,13 +193,13 @@
 
 
 def test_request_names_the_engine_to_copy_from_whatever_the_client_sent():
-    call = read_call(HTTPHeaders({"Kv-Fetch": "10.0.0.1:80"}))
-    headers = write_request(call, "i-1", "team", 1.25, 3, 7, "10.0.0.2:80")
+    call = parse_request_headers(HTTPHeaders({"Kv-Fetch": "10.0.0.1:80"}))
+    headers = build_request_headers(call, "i-1", "team", 1.25, 3, 7, "10.0.0.2:80")
     assert [v for n, v in headers if n == "Kv-Fetch"] == ["10.0.0.2:80"]
 
 
 def test_head_of_an_answer_is_read():
-    facts = read_answer(
+    facts = parse_response_headers(
         {
             "x-request-attempt-id": "9c41",
             "x-response-signature": "3e1b",
@@ -214,17 +214,17 @@
 
 @pytest.mark.parametrize("text", ["", "3", "a,b,c", "3,,8"])
 def test_load_that_cannot_be_read_is_none(text):
-    assert read_answer({"x-instance-load": text}).load is None
+    assert parse_response_headers({"x-instance-load": text}).load is None
 
 
 def test_headers_of_one_connection_are_not_passed_back():
     headers = [("Connection", "close"), ("Keep-Alive", "timeout=5"), ("X-A", "1")]
-    assert list_passed_back(headers) == [("X-A", "1")]
+    assert filter_response_headers(headers) == [("X-A", "1")]
 
 
 def test_refusal_says_when_to_come_back():
-    assert write_refusal("9c41", 0.25)["Retry-After"] == "0.250"
-    assert "Retry-After" not in write_refusal("9c41", None)
+    assert build_error_headers("9c41", 0.25)["Retry-After"] == "0.250"
+    assert "Retry-After" not in build_error_headers("9c41", None)
 
 
 def test_removed_object_outranks_its_last_change():
