--- a/src/tamarackrill/platform/__init__.py
+++ b/src/tamarackrill/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: names, formats and calls, translated into the product's types.
+"""Adapter to the users' platform: translates its names, formats and API calls.
 
-Nothing here decides, and nothing keeps state.  No other module knows these names.
+Stateless and free of policy.  No other package knows the names of the platform.
 """
--- a/src/tamarackrill/platform/headers.py
+++ b/src/tamarackrill/platform/headers.py
@@ -1,4 +1,4 @@
-"""Headers that clients, endpoints and routers exchange on the platform."""
+"""HTTP headers between clients, routers and endpoints on the platform."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -8,8 +8,9 @@
 
 from tamarackrill.decisions.prompts import PromptPart
 
-# The key never leaves the router.  All others here are the router's to set: one that a
-# client sent could spend another team's rights or an engine's memory.
+# Client headers that are not forwarded.  The API key never leaves the router.  Only the
+# router may set the others: otherwise a client could use another team's rights or an
+# engine's memory.
 _NOT_FORWARDED = frozenset(
     {
         "x-api-key",
@@ -27,7 +28,7 @@
         "content-length",
     }
 )
-_CONNECTION_ONLY = frozenset(
+_HOP_BY_HOP = frozenset(
     {
         "connection",
         "keep-alive",
@@ -44,24 +45,24 @@
 
 
 class RequestHeaders(NamedTuple):
-    """What the headers of a client's request say.
+    """Parsed headers of a client's request.
 
     Parameters
     ----------
     request_id : str
         Identifies one attempt of the client.
     wait_s : float or None
-        How long the client waits from now; None if it did not say.
+        The client's timeout, counted from now; None if not given.
     key : str
-        Key of the team; empty if there is none.
+        API key of the team; empty if not given.
     last_event_id : int or None
-        The client has the events of the stream up to this one.
+        Last event of the stream that the client has received.
     prompt_parts : tuple of PromptPart
-        Parts of the prompt, in order; the last is the request's own.
-    tokens : int
-        Tokens of the prompt.
-    forwarded : tuple of (str, str)
-        The client's headers that an endpoint gets unchanged.
+        Parts of the prompt, in order; the last is specific to this request.
+    prompt_tokens : int
+        Length of the prompt.
+    forwarded_headers : tuple of (str, str)
+        Headers that the endpoint receives unchanged.
     """
 
     request_id: str
@@ -69,29 +70,29 @@
     key: str
     last_event_id: int | None
     prompt_parts: tuple[PromptPart, ...]
-    tokens: int
-    forwarded: tuple[tuple[str, str], ...]
+    prompt_tokens: int
+    forwarded_headers: tuple[tuple[str, str], ...]
 
 
 class ResponseHeaders(NamedTuple):
-    """What the headers of an endpoint's answer say.
+    """Parsed headers of an endpoint's response.
 
     Parameters
     ----------
     request_id : str
-        The request that it answers; an extra answer may belong to an earlier one.
+        The request that it answers; a surplus response may belong to an earlier one.
     is_signed : bool
-        Whether it carries the proof that an endpoint made it.
+        Whether it carries an endpoint's signature.
     has_not_run : bool
-        Whether the endpoint says that it did not run the request.
+        Whether the endpoint states that it did not execute the request.
     has_content_encoding : bool
-        Whether the body is not the endpoint's own.
+        Whether the body was encoded, and so is not as the endpoint produced it.
     load : int or None
-        Requests that run and wait there, if it says.
+        Running and queued requests at the endpoint; None if not given.
     idle_max_s : float or None
-        How long the connection may be idle; None if it did not say.
+        Idle timeout of the connection; None if not given.
     is_event_stream : bool
-        Whether the body is a stream of events.
+        Whether the body is an event stream.
     """
 
     request_id: str
@@ -104,7 +105,7 @@
 
 
 def parse_request_headers(headers: HTTPHeaders) -> RequestHeaders:
-    """Return what a client's headers say; what can't be read counts as left out."""
+    """Parse a client's headers; a malformed value is treated as missing."""
     wait_ms = _read_number(headers.get("X-Deadline-Ms"))
     last_id = _read_number(headers.get("Last-Event-Id"))
     return RequestHeaders(
@@ -113,11 +114,12 @@
         key=headers.get("X-Api-Key", ""),
         last_event_id=None if last_id is None else int(last_id),
         prompt_parts=_read_parts(headers.get("X-Prompt-Prefix", "")),
-        # The first number is the prompt; the second bounds the answer.
-        tokens=int(
+        # The first number is the length of the prompt, the second the maximum length of
+        # the answer.
+        prompt_tokens=int(
             _read_number(headers.get("X-Token-Count", "").partition(",")[0]) or 0
         ),
-        forwarded=tuple(_list_forwarded(headers)),
+        forwarded_headers=tuple(_list_forwarded(headers)),
     )
 
 
@@ -139,17 +141,19 @@
 
 
 def _list_forwarded(headers: HTTPHeaders) -> Iterable[tuple[str, str]]:
-    named = {n.strip().lower() for n in headers.get("Connection", "").split(",")}
+    connection_options = {
+        n.strip().lower() for n in headers.get("Connection", "").split(",")
+    }
     for name, value in headers.get_all():
         lowered = name.lower()
-        if lowered in _NOT_FORWARDED or lowered in _CONNECTION_ONLY:
+        if lowered in _NOT_FORWARDED or lowered in _HOP_BY_HOP:
             continue
-        if lowered not in named:
+        if lowered not in connection_options:
             yield name, value
 
 
 def build_request_headers(
-    call: RequestHeaders,
+    client_headers: RequestHeaders,
     endpoint_id: str,
     team: str | None,
     time_left_s: float,
@@ -162,25 +166,26 @@
 
     Parameters
     ----------
-    call : RequestHeaders
-        What the client sent.
+    client_headers : RequestHeaders
+        Headers of the client's request.
     endpoint_id : str
-        Any other endpoint that has the address by now answers 421.
+        Id of the endpoint.  Another endpoint that has taken over its address answers
+        421.
     team : str or None
-        None if the route is anonymous.
+        Name of the team; None if the route is anonymous.
     time_left_s : float
-        After it the endpoint stops.
+        Time until the endpoint gives up.
     body_bytes : int or None
-        None for a request without a body.
+        Length of the body; None for a request without one.
     last_event_id : int or None
-        The stream goes on after this event.
+        The stream resumes after this event.
     copy_from : str or None, default=None
-        Address of an engine from which the endpoint copies what it lacks of the
-        prompt's cached parts.
+        Address of an engine from which the endpoint copies the cached parts of the
+        prompt that it lacks.
     priority : int or None, default=None
-        Rank among the requests of an engine, 0 to 9; the first is served first.
+        Priority among the requests of an engine, 0 to 9; 0 is served first.
     """
-    headers = list(call.forwarded)
+    headers = list(client_headers.forwarded_headers)
     headers.append(("X-Deadline-Ms", str(max(1, int(time_left_s * 1000)))))
     headers.append(("X-Expect-Instance", endpoint_id))
     if team is not None:
@@ -197,21 +202,22 @@
 
 
 def parse_response_headers(headers: Mapping[str, str]) -> ResponseHeaders:
-    """Return what an endpoint's headers say; their names are in lower case."""
-    kind = headers.get("content-type", "")
+    """Parse an endpoint's headers, whose names are in lower case."""
+    content_type = headers.get("content-type", "")
     return ResponseHeaders(
         request_id=headers.get("x-request-attempt-id", ""),
         is_signed="x-response-signature" in headers,
         has_not_run="x-not-executed" in headers,
         has_content_encoding="content-encoding" in headers,
         load=_read_load(headers.get("x-instance-load", "")),
-        idle_max_s=_read_idle(headers.get("keep-alive", "")),
-        is_event_stream=kind.startswith("text/event-stream"),
+        idle_max_s=_read_idle_timeout(headers.get("keep-alive", "")),
+        is_event_stream=content_type.startswith("text/event-stream"),
     )
 
 
 def _read_load(text: str) -> int | None:
-    # Requests that run, that wait, and slots; the last is known from the list.
+    # Running requests, queued requests, slots; the slots are known from the endpoint's
+    # entry in the store.
     numbers = text.split(",")
     try:
         return int(numbers[0]) + int(numbers[1])
@@ -219,9 +225,9 @@
         return None
 
 
-def _read_idle(text: str) -> float | None:
-    for part in text.split(","):
-        name, _, value = part.strip().partition("=")
+def _read_idle_timeout(text: str) -> float | None:
+    for parameter in text.split(","):
+        name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout":
             return _read_number(value)
     return None
@@ -230,16 +236,16 @@
 def filter_response_headers(
     headers: Iterable[tuple[str, str]],
 ) -> list[tuple[str, str]]:
-    """Return an endpoint's headers that its client gets, unchanged."""
+    """Return the headers of an endpoint's response that its client receives."""
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in _CONNECTION_ONLY and name.lower() != "content-length"
+        if name.lower() not in _HOP_BY_HOP and name.lower() != "content-length"
     ]
 
 
 def build_error_headers(request_id: str, retry_after_s: float | None) -> dict[str, str]:
-    """Return the headers of an answer of the router's own."""
+    """Return the headers of an error response that the router generates."""
     headers = {"Content-Type": "application/json"}
     if request_id:
         headers["X-Request-Attempt-Id"] = request_id
--- a/src/tamarackrill/platform/objects.py
+++ b/src/tamarackrill/platform/objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's store that routers read: the manifest and the endpoints."""
+"""Parses the manifest and the endpoint entries from the platform's object store."""
 
 from collections.abc import Mapping
 from ipaddress import ip_address
@@ -18,19 +18,19 @@
 MANIFEST_NAME = "main"
 ENDPOINT_KIND = "servers"
 
-# `draining` says that it takes no new work, not that it still has some.
+# A draining endpoint accepts no new requests; it may or may not have requests left.
 _STATES: Mapping[str, EndpointState] = {"ready": "live", "draining": "leaving"}
 _T = TypeVar("_T")
-_PORTS = 1 << 16
+_PORT_COUNT = 1 << 16
 
 
 def read_manifest(spec: Mapping[str, Any]) -> Manifest:
-    """Return the manifest of the object `config/main`.
+    """Parse the object `config/main`.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        If it is not of the published form.
+        If it does not match the published schema.
     """
     tenants = spec.get("tenants")
     return Manifest(
@@ -46,7 +46,7 @@
     split = route.get("traffic_split")
     if split:
         shares = tuple(
-            ServiceShare(part["service"], float(part["weight"])) for part in split
+            ServiceShare(share["service"], float(share["weight"])) for share in split
         )
     else:
         shares = (ServiceShare(route["service"], 1.0),)
@@ -56,15 +56,15 @@
         path_prefix=route["path_prefix"],
         kind=route["kind"],
         timeout_s=route["timeout_ms"] / 1000,
-        # A time for the whole answer, but for streams that of the first event.
+        # Time until the complete answer; for a stream, until its first event.
         objective_s=route.get("target_latency_ms", route["timeout_ms"]) / 1000,
         gap_objective_s=route.get("gap_aim_ms", 0) / 1000,
         priority=int(route.get("priority", 0)),
         shares=shares,
-        # The number of endpoints, so that 1 means that nothing is sent again.
+        # Counts the first attempt, so 1 disables retries.
         attempts_max=int(route.get("attempts", 1)),
         is_anonymous=bool(route.get("anonymous", False)),
-        # Says that requests carry the parts of their prompt.
+        # Requests of such a route list the parts of their prompt.
         has_affinity=bool(route.get("session_affinity", False)),
         is_resumable=bool(route.get("stream_resume", False)),
     )
@@ -83,7 +83,7 @@
 
 def _read_copy_token_s(engine: Mapping[str, Any]) -> float | None:
     token_bytes = float(engine.get("kv_token_bytes", 0))
-    # The link between engines, in bits; nothing to do with those of routers.
+    # Link between engines, in Mbit/s; unrelated to `limits.link_mbps` of a router's VM.
     link_bytes_per_s = float(engine.get("link_mbps", 0)) * 1e6 / 8
     if not token_bytes or not link_bytes_per_s:
         return None
@@ -109,60 +109,60 @@
 
 
 def read_endpoint(name: str, spec: Mapping[str, Any]) -> Endpoint:
-    """Return the endpoint of an object of kind `servers`.
+    """Parse an object of kind `servers`.
 
     Parameters
     ----------
     name : str
-        Name of the object: the id of one start of the process.
+        Name of the object: a new id each time the process starts.
     spec : mapping
         Its contents.
 
     Raises
     ------
     KeyError, TypeError, ValueError
-        If it is not of the published form.  Others than workers may write such objects,
-        so that fields are checked which are not used: work must not be sent to what
-        merely looks like a worker.
+        If it does not match the published schema.  Unused fields are checked too:
+        programs other than workers may write such objects, and requests must not be
+        sent to something that merely resembles a worker.
     """
-    _need(spec, "version", str)
-    _need(spec, "sequence", int)
-    _need_number(spec, "cold_remaining_ms")
+    _read_required(spec, "version", str)
+    _read_required(spec, "sequence", int)
+    _check_number(spec, "cold_remaining_ms")
     return Endpoint(
         name=name,
         kind="engine" if _read_optional(spec, "models", list) else "service",
-        serves=(_need(spec, "service", str),),
-        address=_need_address(spec),
-        zone=_need(spec, "zone", str),
-        state=_STATES[_need(spec, "state", str)],
-        slots=_need(spec, "slots", int),
-        # Workers on older releases don't tell.
+        serves=(_read_required(spec, "service", str),),
+        address=_read_address(spec),
+        zone=_read_required(spec, "zone", str),
+        state=_STATES[_read_required(spec, "state", str)],
+        slots=_read_required(spec, "slots", int),
+        # Missing from workers of older releases.
         started_ms=_read_optional(spec, "born", int),
     )
 
 
-def _need(spec: Mapping[str, Any], field: str, kind: type[_T]) -> _T:
+def _read_required(spec: Mapping[str, Any], field: str, kind: type[_T]) -> _T:
     value = spec[field]
-    # A bool is an int to `isinstance`.
+    # `isinstance` treats a bool as an int.
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise TypeError(f"{field} is no {kind.__name__}")
+        raise TypeError(f"{field}: expected {kind.__name__}")
     return value
 
 
 def _read_optional(spec: Mapping[str, Any], field: str, kind: type[_T]) -> _T | None:
-    return _need(spec, field, kind) if field in spec else None
+    return _read_required(spec, field, kind) if field in spec else None
 
 
-def _need_number(spec: Mapping[str, Any], field: str) -> None:
+def _check_number(spec: Mapping[str, Any], field: str) -> None:
     if not isinstance(spec[field], float):
-        _need(spec, field, int)
+        _read_required(spec, field, int)
 
 
-def _need_address(spec: Mapping[str, Any]) -> str:
-    address = _need(spec, "address", str)
+def _read_address(spec: Mapping[str, Any]) -> str:
+    address = _read_required(spec, "address", str)
     host, _, port = address.rpartition(":")
-    if not 0 < int(port) < _PORTS:
-        raise ValueError("address has no port")
-    # Names are not looked up: it would hold up the request that asks first.
+    if not 0 < int(port) < _PORT_COUNT:
+        raise ValueError("address has no valid port")
+    # Host names are rejected: a DNS lookup would delay the first request that needs it.
     ip_address(host)
     return address
--- a/src/tamarackrill/platform/settings_file.py
+++ b/src/tamarackrill/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process, in JSON or YAML."""
+"""Parses the settings file, JSON or YAML, that the platform writes for each process."""
 
 import json
 from collections.abc import Mapping
@@ -11,9 +11,10 @@
 BYTES_PER_MBIT = 125_000.0
 DEFAULT_LINK_MBPS = 1000.0
 PORT_MAX = 65535
-_MISSING = object()
-# Where the file holds what a process listens at.
-_KEYS = {
+# Default of a field that has to be present.
+_REQUIRED = object()
+# Keys of the listening addresses in the file.
+_ADDRESS_KEYS = {
     "callers_address": "listen.front",
     "readiness_address": "listen.ready",
     "peer_port": "internal_ports",
@@ -21,34 +22,35 @@
 
 
 class PlatformSettings(NamedTuple):
-    """Checked settings of one router on the platform.
+    """Validated settings of one router on the platform.
 
     Parameters
     ----------
     name, zone : str
-        This VM and its availability zone.
+        Name of this VM and its availability zone.
     ip : str
-        Address to bind for other routers.
+        Address to listen at for other routers.
     callers_address, readiness_address : str
-        ``host:port`` for clients and for the balancer's question.
+        ``host:port`` for clients and for the load balancer's readiness probe.
     peer_port : int
-        For other routers, TCP and UDP.
+        TCP and UDP port for other routers.
     seeds : tuple of str
-        ``host:port`` of up to three routers, for other routers; may be stale.
+        ``host:port`` at which up to three routers listen for other routers; may be
+        outdated.
     store_address : str
         ``host:port`` of the platform's object store.
     grace_s : float
-        From SIGTERM to SIGKILL.
+        Time between SIGTERM and SIGKILL.
     news_max_s : float
-        Time in which a change of the manifest or of an endpoint has to be in force.
+        Time in which a change of the manifest or of an endpoint has to take effect.
     load_cap : float
-        Multiple of the mean load that no endpoint may exceed.
+        Upper bound of an endpoint's load, as a multiple of the mean load.
     retry_budget : BudgetTerms
-        Shared by all routers, for each service.
+        Budget of each service, shared by all routers.
     link_bytes_per_s : float
-        What the link of this VM carries.
+        Bandwidth of this VM's network link.
     source : str
-        Name of the file.
+        Path of the file.
     """
 
     name: str
@@ -67,12 +69,12 @@
     source: str = ""
 
     def get_field_location(self, field: str) -> str:
-        """Return where the file holds the address of a field."""
-        return f"{self.source}: {_KEYS[field]}"
+        """Return the file and key that set a field, for error messages."""
+        return f"{self.source}: {_ADDRESS_KEYS[field]}"
 
 
 class _Reader:
-    """Reads fields by their dotted names and collects what is wrong."""
+    """Reads fields by their dotted keys and collects errors."""
 
     def __init__(self, source: str, fields: Mapping[str, Any]) -> None:
         self.source = source
@@ -88,62 +90,66 @@
             self.report(path, f"{text!r} is no host:port")
         return text
 
-    def read(self, path: str, kind: type, default: Any = _MISSING) -> Any:
+    def read(self, path: str, kind: type, default: Any = _REQUIRED) -> Any:
         value: Any = self._fields
         for name in path.split("."):
             value = value.get(name) if isinstance(value, Mapping) else None
-        if value is None and default is not _MISSING:
+        if value is None and default is not _REQUIRED:
             return default
         accepted = (int, float) if kind is float else kind
         if isinstance(value, accepted) and not (
             isinstance(value, bool) and kind is not bool
         ):
             return kind(value)
-        said = "is missing" if value is None else f"{value!r} is no {kind.__name__}"
-        self.report(path, said)
+        message = (
+            "is missing"
+            if value is None
+            else f"expected {kind.__name__}, got {value!r}"
+        )
+        self.report(path, message)
         return kind()
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is ``host:port``."""
+    """Return whether a text has the form ``host:port``."""
     host, _, port = text.rpartition(":")
     return bool(host) and port.isdigit() and 0 < int(port) <= PORT_MAX
 
 
 def parse_settings(source: str, text: str) -> PlatformSettings:
-    """Return the settings of a file's text; fields that are not known are passed over.
+    """Parse and validate the text of a settings file; unknown fields are ignored.
 
     Raises
     ------
     FindingsError
-        With every field that is missing or of a wrong type.
+        Lists all fields that are missing or have an invalid value.
     """
-    fields = _load(source, text)
+    fields = _parse_text(source, text)
     if not isinstance(fields, Mapping):
         raise FindingsError([Finding(source, "holds no fields")])
     reader = _Reader(source, fields)
-    settings = _read(reader)
+    settings = _read_settings(reader)
     if reader.findings:
         raise FindingsError(reader.findings)
     return settings
 
 
-def _load(source: str, text: str) -> Any:
+def _parse_text(source: str, text: str) -> Any:
     try:
         return json.loads(text)
     except ValueError as error:
-        # Not each file is JSON, and a process that reads one that is starts sooner.
-        return _load_yaml(source, text, error)
+        # JSON is tried first: without importing YAML a process starts faster.
+        return _parse_yaml(source, text, error)
 
 
-def _load_yaml(source: str, text: str, json_error: ValueError) -> Any:
+def _parse_yaml(source: str, text: str, json_error: ValueError) -> Any:
     import yaml
 
     try:
         return yaml.safe_load(text)
     except yaml.YAMLError as error:
         if text.lstrip().startswith("{"):
-            # What a parser of YAML says of broken JSON names the wrong place.
+            # For malformed JSON, the YAML parser reports the wrong position.
             line = getattr(json_error, "lineno", 1)
             message = f"is no JSON: {getattr(json_error, 'msg', json_error)}"
         else:
@@ -153,14 +159,14 @@
         raise FindingsError([Finding(f"{source}:{line}", message)]) from error
 
 
-def _read(reader: _Reader) -> PlatformSettings:
-    # The ports from the first to the second are free; the second one is included.
+def _read_settings(reader: _Reader) -> PlatformSettings:
+    # An inclusive range of ports that the router may use.
     ports = reader.read("internal_ports", list)
     is_range = len(ports) == 2 and all(isinstance(port, int) for port in ports)
     first, last = ports if is_range else (0, 0)
     if not 0 < first < last <= PORT_MAX:
         reader.report("internal_ports", f"{ports!r} is no range of two ports")
-    # `seeds` are addresses of the control port; routers talk on the internal one.
+    # `seeds` have the control port; routers exchange messages at the internal port.
     seeds = [str(seed).rpartition(":")[0] for seed in reader.read("seeds", list, [])]
     return PlatformSettings(
         name=reader.read("node_name", str),
@@ -187,6 +193,6 @@
 
 def _read_news_max_s(reader: _Reader) -> float:
     manifest_ms = reader.read("bounds.config_ms", float, 2000.0)
-    # Counted from when a worker says that it leaves, not from its end.
+    # Counted from when a worker announces that it drains, not from its exit.
     leaving_ms = reader.read("bounds.drain_ms", float, 2000.0)
     return float(min(manifest_ms, leaving_ms)) / 1000
--- a/src/tamarackrill/platform/store.py
+++ b/src/tamarackrill/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's object store: paths, status codes and fields of answers."""
+"""API of the platform's object store: paths and fields of its responses."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -13,7 +13,8 @@
 
 
 def _list_path(kind: str, after: str) -> str:
-    # `after_revision` holds a name, that of the last object of the page before.
+    # `after_revision` takes not a revision but the name of the last object of the
+    # previous page.
     query = f"?{urlencode({'after_revision': after})}" if after else ""
     return f"/objects/{kind}{query}"
 
@@ -30,7 +31,7 @@
         raise TypeError("metadata without a name or a revision")
     value = None if is_removed else fields.get("spec")
     if value is None and not is_removed:
-        # An object without contents still stands there; None would tell of its end.
+        # An object without contents exists; a value of None would mean its deletion.
         value = {}
     return PlatformObject(kind, name, revision, value)
 
@@ -39,18 +40,18 @@
     item = _read_object(kind, event["object"], event["removed"])
     if not event["removed"]:
         return item
-    # The object comes with the revision of its last change, which its end must outrank.
+    # The event has the revision of the last change; a deletion must replace it.
     return item._replace(version=item.version + 1)
 
 
-def _read_each(
-    kind: str, read: Callable[[Any], PlatformObject], found: Iterable[Any]
+def _read_valid(
+    kind: str, parse: Callable[[Any], PlatformObject], entries: Iterable[Any]
 ) -> tuple[PlatformObject, ...]:
-    """Return what can be read; one object that can't be must not hide the others."""
+    """Parse entries; malformed ones are logged and skipped."""
     items = []
-    for fields in found:
+    for fields in entries:
         try:
-            items.append(read(fields))
+            items.append(parse(fields))
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             log_event(
                 OBJECT_FAULTY, kind=kind, object="", version=0, message=repr(error)
@@ -59,7 +60,7 @@
 
 
 def _read_page(kind: str, body: dict[str, Any]) -> ObjectPage:
-    items = _read_each(
+    items = _read_valid(
         kind, lambda fields: _read_object(kind, fields, False), body["items"]
     )
     after = items[-1].name if body.get("has_more") and items else ""
@@ -67,7 +68,7 @@
 
 
 def _read_events(kind: str, body: dict[str, Any]) -> Listing:
-    events = _read_each(kind, lambda event: _read_event(kind, event), body["events"])
+    events = _read_valid(kind, lambda event: _read_event(kind, event), body["events"])
     return Listing(events, body["store_revision"])
 
 
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""Entries of endpoints in the store, whoever wrote them."""
+"""Endpoint entries in the store: valid ones, and those that are malformed."""
 
 import pytest
 from hypothesis import given
@@ -25,20 +25,20 @@
 @pytest.mark.parametrize(
     ("state", "found"), [("ready", "live"), ("draining", "leaving")]
 )
-def test_endpoint_is_read(state, found):
+def test_endpoint_is_parsed(state, found):
     endpoint = read_endpoint("i-1", {**ENTRY, "state": state})
     assert (endpoint.name, endpoint.state, endpoint.slots) == ("i-1", found, 6)
     assert endpoint.kind == "service"
     assert endpoint.started_ms is None
 
 
-def test_start_of_an_endpoint_is_read():
+def test_start_time_of_an_endpoint_is_parsed():
     assert read_endpoint("i-1", {**ENTRY, "born": 1_700_000_000_123}).started_ms == (
         1_700_000_000_123
     )
 
 
-UNREADABLE_FIELDS = [
+INVALID_FIELDS = [
     ("service", None),
     ("service", 7),
     ("address", "10.0.0.1"),
@@ -62,16 +62,16 @@
 ]
 
 
-@pytest.mark.parametrize(("field", "value"), UNREADABLE_FIELDS)
-def test_entry_of_another_form_names_no_endpoint(field, value):
-    # Something else than a worker writes an entry that merely looks like a worker's.
-    # A router that took what it could read of it would send clients' requests there.
+@pytest.mark.parametrize(("field", "value"), INVALID_FIELDS)
+def test_entry_with_an_invalid_field_is_rejected(field, value):
+    # A program other than a worker writes an entry that resembles a worker's.  If the
+    # router accepted the valid fields alone, it would send clients' requests there.
     with pytest.raises((KeyError, TypeError, ValueError)):
         read_endpoint("i-1", {**ENTRY, field: value})
 
 
 @pytest.mark.parametrize("field", sorted(ENTRY))
-def test_entry_that_lacks_a_field_names_no_endpoint(field):
+def test_entry_with_a_missing_field_is_rejected(field):
     entry = {name: value for name, value in ENTRY.items() if name != field}
     with pytest.raises((KeyError, TypeError, ValueError)):
         read_endpoint("i-1", entry)
@@ -89,8 +89,8 @@
 
 @given(spec=JSON_VALUES)
 def test_no_entry_ends_the_task_that_follows_the_store(spec):
-    # Whatever another writer puts into an entry, the router goes on to follow the store
-    # and sends nothing to that entry; the sound ones stay in use.
+    # Another program writes arbitrary JSON into an entry.  The router must continue to
+    # follow the store, send no requests to that entry and keep using valid entries.
     view = DeploymentView(READERS)
     view.take(ObjectVersion("servers", "sound", 1, ENTRY), 0.0)
     view.take(ObjectVersion("servers", "odd", 2, spec), 0.0)
@@ -99,9 +99,9 @@
         assert isinstance(endpoint.slots, int) and ":" in endpoint.address
 
 
-def test_entry_that_can_no_longer_be_read_names_no_endpoint():
-    # An entry is written over by something that is no worker.  Going on with what it
-    # said before would send requests to an endpoint of which nothing is known.
+def test_entry_overwritten_with_an_invalid_one_is_removed():
+    # A program other than a worker overwrites an entry.  If the previous version were
+    # kept, requests would go to an endpoint whose state is unknown.
     view = DeploymentView(READERS)
     view.take(ObjectVersion("servers", "w", 1, ENTRY), 0.0)
     view.take(ObjectVersion("servers", "w", 2, {**ENTRY, "state": "resting"}), 0.0)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    "odd",
+    "malformed",
     [
         None,
         "text",
@@ -122,23 +122,26 @@
         {"metadata": {"name": "x", "revision": "3"}, "spec": {}},
     ],
 )
-def test_object_that_cannot_be_read_hides_no_other(odd):
-    # One object of a list is not of the published form.  Were the whole list refused,
-    # the router would hear of no change of any endpoint any more.
-    sound = {"metadata": {"name": "w", "revision": 2}, "spec": ENTRY}
+def test_malformed_object_does_not_hide_others(malformed):
+    # One object of a list does not match the published schema.  If the whole list were
+    # rejected, the router would receive no more changes of any endpoint.
+    valid = {"metadata": {"name": "w", "revision": 2}, "spec": ENTRY}
     page = STORE_FORM.read_page(
-        "servers", {"items": [odd, sound], "has_more": False, "store_revision": 3}
+        "servers", {"items": [malformed, valid], "has_more": False, "store_revision": 3}
     )
     assert [item.name for item in page.items] == ["w"]
-    events = [{"object": odd, "removed": False}, {"object": sound, "removed": False}]
+    events = [
+        {"object": malformed, "removed": False},
+        {"object": valid, "removed": False},
+    ]
     listing = STORE_FORM.read_events("servers", {"events": events, "store_revision": 3})
     assert [item.name for item in listing.items] == ["w"]
 
 
 @pytest.mark.parametrize("fields", [{}, {"spec": None}])
-def test_object_without_contents_is_not_taken_for_its_end(fields):
-    # An entry without contents stands in the store.  Taken for the end of an endpoint,
-    # it would be held as one that lapsed while the store is away.
+def test_object_without_contents_is_not_a_deletion(fields):
+    # An entry without contents exists in the store.  If it were treated as deleted, the
+    # router would keep the endpoint as one whose entry expired during a store outage.
     item = {"metadata": {"name": "w", "revision": 2}, **fields}
     page = STORE_FORM.read_page("servers", {"items": [item], "store_revision": 3})
     assert page.items[0].value == {}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's names and formats in, the product's types out."""
+"""Adapter to the users' platform: settings file, manifest, headers and object store."""
 
 import re
 from pathlib import Path
@@ -20,8 +20,8 @@
 from tamarackrill.testing.edge import make_manifest, make_route
 
 SOURCE = Path(__file__).parent.parent / "src" / "tamarackrill"
-# Words of the platform that no module outside the adapter may know.
-WORDS = re.compile(
+# Names of the platform that must not occur outside the adapter.
+PLATFORM_NAMES = re.compile(
     r"X-(Request-Attempt-Id|Expect-Instance|Prompt-Prefix|Instance-Load|Tenant-Id"
     r"|Response-Signature|Not-Executed|Deadline-Ms|Token-Count|Api-Key)"
     r"|target_latency_ms|api_keys|store_revision|traffic_split"
@@ -44,22 +44,22 @@
 """
 
 
-def test_adapter_imports_nothing_of_the_routers():
-    # Guards against an adapter that can't be read, or replaced, without the router.
+def test_adapter_does_not_import_the_router():
+    # Otherwise the adapter could not be understood or replaced without the router.
     for path in (SOURCE / "platform").glob("*.py"):
         text = path.read_text(encoding="utf-8")
         assert "tamarackrill.router" not in text, path.name
 
 
-def test_words_of_the_platform_stand_in_the_adapter_alone():
+def test_platform_names_occur_only_in_the_adapter():
     for path in SOURCE.rglob("*.py"):
         if path.parent.name in ("platform", "testing"):
             continue
-        found = WORDS.search(path.read_text(encoding="utf-8"))
+        found = PLATFORM_NAMES.search(path.read_text(encoding="utf-8"))
         assert found is None, f"{path.name}: {found}"
 
 
-def test_settings_are_read_and_unknown_fields_passed_over():
+def test_settings_are_parsed_and_unknown_fields_ignored():
     settings = parse_settings("local.yaml", SETTINGS)
     assert settings.name == "edge-a-1"
     assert settings.peer_port == 7340
@@ -68,22 +68,22 @@
     assert settings.load_cap == 2.0
 
 
-def test_all_faults_of_the_settings_are_told_with_their_places():
+def test_all_invalid_settings_are_reported_with_their_location():
     text = SETTINGS.replace('"edge-a-1"', "7").replace("  front:", "  frond:")
     with pytest.raises(FindingsError) as caught:
         parse_settings("local.yaml", text)
     shown = caught.value.show()
-    assert "local.yaml: node_name: 7 is no str" in shown
+    assert "local.yaml: node_name: expected str, got 7" in shown
     assert "local.yaml: listen.front: is missing" in shown
 
 
 @pytest.mark.parametrize("text", ["", "- a\n", "a: [", "internal_ports: [1]"])
-def test_what_is_no_settings_file_is_told(text):
+def test_invalid_settings_file_is_reported(text):
     with pytest.raises(FindingsError):
         parse_settings("local.yaml", text)
 
 
-def test_manifest_is_read():
+def test_manifest_is_parsed():
     manifest = read_manifest(
         make_manifest(
             7,
@@ -115,21 +115,21 @@
         (None, None),
     ],
 )
-def test_time_to_copy_a_token_between_engines_is_read(engine, copy_token_s):
+def test_time_to_copy_a_token_between_engines_is_computed(engine, copy_token_s):
     spec = make_manifest(1)
     spec["services"][0]["engine"] = engine
     (service,) = read_manifest(spec).services
     assert service.copy_token_s == copy_token_s
 
 
-def test_manifest_without_tenants_asks_for_no_keys():
+def test_manifest_without_tenants_requires_no_keys():
     spec = make_manifest(1)
     del spec["tenants"]
     assert read_manifest(spec).teams is None
 
 
-def test_head_of_a_request_is_read():
-    call = parse_request_headers(
+def test_request_headers_are_parsed():
+    parsed = parse_request_headers(
         HTTPHeaders(
             {
                 "X-Request-Attempt-Id": "9c41",
@@ -145,11 +145,11 @@
             }
         )
     )
-    assert call.wait_s == 1.5
-    assert call.prompt_parts == (("5c1e", 800), ("91bd", 410), ("e440", 250))
-    assert call.tokens == 1460
-    assert call.last_event_id == 12
-    assert {name for name, _ in call.forwarded} == {
+    assert parsed.wait_s == 1.5
+    assert parsed.prompt_parts == (("5c1e", 800), ("91bd", 410), ("e440", 250))
+    assert parsed.prompt_tokens == 1460
+    assert parsed.last_event_id == 12
+    assert {name for name, _ in parsed.forwarded_headers} == {
         "X-Request-Attempt-Id",
         "X-Token-Count",
         "X-Prompt-Prefix",
@@ -158,10 +158,10 @@
 
 
 @pytest.mark.parametrize("text", ["inf", "-inf", "nan", "1e999"])
-def test_numbers_that_are_not_finite_are_left_out(text):
-    # A client sends nonsense where a number stands.  Reading it must not end in a fault
-    # of the router's own, which would cut the connection without an answer.
-    call = parse_request_headers(
+def test_non_finite_numbers_are_ignored(text):
+    # A client sends a non-finite number in a header.  An unhandled exception in the
+    # parser would close the connection without a response.
+    parsed = parse_request_headers(
         HTTPHeaders(
             {
                 "X-Deadline-Ms": text,
@@ -171,19 +171,25 @@
             }
         )
     )
-    assert (call.wait_s, call.last_event_id, call.tokens) == (None, None, 0)
-    assert call.prompt_parts == (("5c1e", 0),)
+    assert (parsed.wait_s, parsed.last_event_id, parsed.prompt_tokens) == (
+        None,
+        None,
+        0,
+    )
+    assert parsed.prompt_parts == (("5c1e", 0),)
 
 
 @pytest.mark.parametrize("text", ["", "soon", "-5"])
-def test_deadline_that_cannot_be_read_is_none_or_now(text):
-    call = parse_request_headers(HTTPHeaders({"X-Deadline-Ms": text}))
-    assert call.wait_s in (None, 0.0)
+def test_malformed_deadline_is_none_or_zero(text):
+    parsed = parse_request_headers(HTTPHeaders({"X-Deadline-Ms": text}))
+    assert parsed.wait_s in (None, 0.0)
 
 
-def test_request_to_an_endpoint_names_it_and_the_team():
-    call = parse_request_headers(HTTPHeaders({"X-Model": "m", "X-Tenant-Id": "forged"}))
-    headers = dict(build_request_headers(call, "i-1", "team", 1.25, 3, 7))
+def test_request_headers_name_the_endpoint_and_the_team():
+    parsed = parse_request_headers(
+        HTTPHeaders({"X-Model": "m", "X-Tenant-Id": "forged"})
+    )
+    headers = dict(build_request_headers(parsed, "i-1", "team", 1.25, 3, 7))
     assert headers["X-Expect-Instance"] == "i-1"
     assert headers["X-Tenant-Id"] == "team"
     assert headers["X-Deadline-Ms"] == "1250"
@@ -192,14 +198,14 @@
     assert "Kv-Fetch" not in headers
 
 
-def test_request_names_the_engine_to_copy_from_whatever_the_client_sent():
-    call = parse_request_headers(HTTPHeaders({"Kv-Fetch": "10.0.0.1:80"}))
-    headers = build_request_headers(call, "i-1", "team", 1.25, 3, 7, "10.0.0.2:80")
+def test_router_overrides_the_kv_fetch_header_of_the_client():
+    parsed = parse_request_headers(HTTPHeaders({"Kv-Fetch": "10.0.0.1:80"}))
+    headers = build_request_headers(parsed, "i-1", "team", 1.25, 3, 7, "10.0.0.2:80")
     assert [v for n, v in headers if n == "Kv-Fetch"] == ["10.0.0.2:80"]
 
 
-def test_head_of_an_answer_is_read():
-    facts = parse_response_headers(
+def test_response_headers_are_parsed():
+    parsed = parse_response_headers(
         {
             "x-request-attempt-id": "9c41",
             "x-response-signature": "3e1b",
@@ -208,26 +214,26 @@
             "content-type": "text/event-stream; charset=utf-8",
         }
     )
-    assert facts.is_signed and facts.is_event_stream and not facts.has_not_run
-    assert (facts.load, facts.idle_max_s) == (5, 5.0)
+    assert parsed.is_signed and parsed.is_event_stream and not parsed.has_not_run
+    assert (parsed.load, parsed.idle_max_s) == (5, 5.0)
 
 
 @pytest.mark.parametrize("text", ["", "3", "a,b,c", "3,,8"])
-def test_load_that_cannot_be_read_is_none(text):
+def test_malformed_load_is_none(text):
     assert parse_response_headers({"x-instance-load": text}).load is None
 
 
-def test_headers_of_one_connection_are_not_passed_back():
+def test_hop_by_hop_headers_are_not_returned_to_the_client():
     headers = [("Connection", "close"), ("Keep-Alive", "timeout=5"), ("X-A", "1")]
     assert filter_response_headers(headers) == [("X-A", "1")]
 
 
-def test_refusal_says_when_to_come_back():
+def test_error_response_may_have_retry_after():
     assert build_error_headers("9c41", 0.25)["Retry-After"] == "0.250"
     assert "Retry-After" not in build_error_headers("9c41", None)
 
 
-def test_removed_object_outranks_its_last_change():
+def test_deletion_has_a_higher_version_than_the_last_change():
     body = {
         "events": [
             {"removed": True, "object": {"metadata": {"name": "a", "revision": 5}}}
@@ -238,7 +244,7 @@
     assert item.value is None and item.version > 5
 
 
-def test_pages_of_a_list_follow_one_another():
+def test_next_page_starts_after_the_last_object():
     body = {
         "items": [{"metadata": {"name": "a", "revision": 5}, "spec": {"x": 1}}],
         "has_more": True,
