--- a/src/tamarackrill/protocol/__init__.py
+++ b/src/tamarackrill/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between routers, in Thrift."""
+"""Encoding of the messages between routers, in Thrift's compact protocol."""
--- a/src/tamarackrill/protocol/bulletin_codec.py
+++ b/src/tamarackrill/protocol/bulletin_codec.py
@@ -1,4 +1,4 @@
-"""Encoding and proof of origin of bulletins; see `decisions.watching`."""
+"""Encoding and authentication of bulletins; see `decisions.watching`."""
 
 import math
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def encode_bulletin(bulletin: Bulletin, keys: tuple[str, ...]) -> bytes:
-    """Return the datagram of a bulletin, signed with the first key."""
+    """Encode a bulletin as a datagram that is authenticated with the first key."""
     struct = structs.Bulletin(
         sender=bulletin.sender,
         session=bulletin.session,
@@ -39,9 +39,9 @@
 
 
 def decode_bulletin(datagram: bytes, keys: tuple[str, ...]) -> Bulletin | None:
-    """Return the bulletin of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
-    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
+    """Decode a datagram; None if it is not authentic or malformed."""
+    mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
     struct = structs.Bulletin()
     try:
@@ -57,8 +57,8 @@
             _from_ms(struct.asked_ms),
             bool(struct.asks_time),
         )
-    # The parser raises whatever the bytes lead it to; a peer of a later release must
-    # not be able to end the task that reads the socket.
+    # The parser may raise any exception; a message from a peer of a later release must
+    # not end the task that reads the socket.
     except Exception:
         return None
 
@@ -91,6 +91,6 @@
         int(struct.newest),
         from_signed(struct.content),
     )
-    # A router of the release before neither passes evidence on nor asks for it.
+    # Routers of the previous release don't relay evidence, and omit these fields.
     origin, hops = str(struct.origin or ""), int(struct.hops or 0)
     return Evidence(struct.age_ms / 1000, digest, origin, hops)
--- a/src/tamarackrill/protocol/bulletins.thrift
+++ b/src/tamarackrill/protocol/bulletins.thrift
@@ -1,5 +1,5 @@
-// Bulletins between routers about what the store has answered, in Thrift's
-// compact form over UDP.  Field numbers are never used again.
+// Bulletins between routers about what the store answered, in Thrift's compact protocol
+// over UDP.  Field numbers are never reused.
 
 struct Evidence {
   1: string kind
@@ -17,7 +17,7 @@
   3: i64 sequence
   4: list<Evidence> evidence
   5: bool asks
-  // The sender's steady clock; of an answer also that of the question.
+  // Monotonic clock of the sender; in a reply also that of the request, which it copies.
   6: i64 sent_ms
   7: optional i64 asked_ms
   8: optional bool asks_time
--- a/src/tamarackrill/protocol/codec.py
+++ b/src/tamarackrill/protocol/codec.py
@@ -1,9 +1,10 @@
-"""Encoding and proof of origin of the messages between routers.
+"""Encoding and authentication of gossip messages.
 
-A message is a keyed digest followed by one `Gossip` struct in Thrift's compact form.
-The digest is checked before a byte is parsed, so only holders of a peer key reach the
-parser.  Two keys are valid while operators change them: the first signs, all verify.
-Replays are recognised by session and sequence, in `decisions.membership`.
+A datagram is a message authentication code (MAC) followed by one `Gossip` struct in
+Thrift's compact protocol.  The MAC is verified before anything is parsed, so only
+holders of a peer key reach the parser.  Two keys are valid during a key rotation: the
+first signs, all verify.  `decisions.membership` rejects replays by session and
+sequence.
 """
 
 import hashlib
@@ -26,23 +27,23 @@
 from tamarackrill.decisions.views import BUCKET_COUNT
 from tamarackrill.protocol import structs
 
-# 128 bits cannot be guessed over a network, and leave 16 bytes more of the budget
-# than the whole digest.
+# 128 bits cannot be guessed over a network, and the truncated MAC leaves 16 more bytes
+# of the size limit to the payload than the full one.
 MAC_BYTES = 16
-# The digest covers this word, as that of the other messages covers one of its own, so
-# that none is taken for one of another protocol with the same keys.
+# Prepended to the payload when the MAC is computed.  Each protocol has its own, so that
+# no datagram is accepted as one of another protocol with the same keys.
 _DOMAIN_SEPARATOR = b"gossip\0"
 _I64_MODULUS = 1 << 64
 _I64_LIMIT = 1 << 63
 
 
 class InvalidMessage(ValueError):
-    """A datagram that no peer sent, or that does not hold a message.
+    """Raised for a datagram that is not authentic or malformed.
 
     Parameters
     ----------
     reason : {"stranger", "malformed"}
-        Whether the keyed digest or the contents were wrong.
+        ``"stranger"`` if the MAC is invalid, ``"malformed"`` if the contents are.
     """
 
     def __init__(self, reason: str) -> None:
@@ -51,22 +52,22 @@
 
 
 def sign(payload: bytes, key: str) -> bytes:
-    """Return the keyed digest of a payload."""
+    """Return the truncated HMAC-SHA256 of a payload."""
     return hmac.digest(key.encode(), payload, hashlib.sha256)[:MAC_BYTES]
 
 
-def verify(digest: bytes, payload: bytes, keys: tuple[str, ...]) -> bool:
-    """Return whether any of the keys gives this digest.
+def verify(mac: bytes, payload: bytes, keys: tuple[str, ...]) -> bool:
+    """Return whether the MAC is valid for any of the keys.
 
-    All keys are tried and compared in constant time: a stranger who could measure
-    how far a comparison came would find the digest byte by byte.
+    All keys are tried and compared in constant time: from the duration of a comparison
+    that stops early, an attacker could find the MAC byte by byte.
     """
-    found = [hmac.compare_digest(digest, sign(payload, key)) for key in keys]
-    return any(found)
+    matches = [hmac.compare_digest(mac, sign(payload, key)) for key in keys]
+    return any(matches)
 
 
 def encode_gossip(message: Gossip, keys: tuple[str, ...]) -> bytes:
-    """Return the datagram of a message, signed with the first key."""
+    """Encode a message as a datagram that is authenticated with the first key."""
     buffer = TMemoryBuffer()
     _to_struct(message).write(TCompactProtocol(buffer))
     payload = buffer.getvalue()
@@ -74,22 +75,22 @@
 
 
 def decode_gossip(datagram: bytes, keys: tuple[str, ...]) -> Gossip:
-    """Return the message of a datagram.
+    """Decode a datagram.
 
     Raises
     ------
     InvalidMessage
-        If no key proves it, or it holds no message.
+        If it is not authentic or malformed.
     """
-    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
-    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
+    mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         raise InvalidMessage("stranger")
     struct = structs.Gossip()
     try:
         struct.read(TCompactProtocol(TMemoryBuffer(payload)))
         return _from_struct(struct)
-    # The parser raises whatever the bytes lead it to; a peer of a later release must
-    # not be able to end the task that reads the socket.
+    # The parser may raise any exception; a message from a peer of a later release must
+    # not end the task that reads the socket.
     except Exception as error:
         raise InvalidMessage("malformed") from error
 
@@ -188,22 +189,22 @@
 
 def _read_buckets(value: bytes | None) -> bytes:
     if value and len(value) != BUCKET_COUNT:
-        raise ValueError("not the number of buckets")
+        raise ValueError("wrong number of buckets")
     return value or b""
 
 
 def require_text(value: object) -> str:
-    """Return a text field; raises if it is missing or empty."""
+    """Return a text field; raise ValueError if it is missing or empty."""
     if not isinstance(value, str) or not value:
-        raise ValueError("a text is missing")
+        raise ValueError("a text field is missing or empty")
     return value
 
 
 def to_signed(value: int) -> int:
-    """Return an unsigned 64-bit hash as Thrift's i64."""
+    """Convert an unsigned 64-bit hash to Thrift's signed i64."""
     return value - _I64_MODULUS if value >= _I64_LIMIT else value
 
 
 def from_signed(value: int) -> int:
-    """Return Thrift's i64 as an unsigned 64-bit hash."""
+    """Convert Thrift's signed i64 to an unsigned 64-bit hash."""
     return value % _I64_MODULUS
--- a/src/tamarackrill/protocol/generate.py
+++ b/src/tamarackrill/protocol/generate.py
@@ -1,8 +1,8 @@
-"""Write `structs.py` from the IDL files beside it.
+"""Generates `structs.py` from the IDL files in this directory.
 
-``python -m tamarackrill.protocol.generate > structs.py``, then the formatter.  A router
-that parsed the IDL at each start would spend a fifth of its start on that (50 of 270
-ms), and callers find nobody while all routers start again.
+Run ``python -m tamarackrill.protocol.generate > structs.py``, then the formatter.
+Parsing the IDL at each start would take a fifth of a router's startup time (50 of 270
+ms), in which clients get no answer if all routers restart at once.
 """
 
 from pathlib import Path
@@ -16,7 +16,7 @@
 
 from thriftpy2.thrift import TPayload, TPayloadMeta, TType
 '''
-_CLASS = '''
+_CLASS_TEMPLATE = '''
 
 class {name}(TPayload, metaclass=TPayloadMeta):
     """Struct of {file}.thrift."""
@@ -24,7 +24,7 @@
     thrift_spec = {{{fields}}}
     default_spec = {defaults}
 '''
-# Some types have more than one name; the first is that of the IDL.
+# Some types have several names, of which the IDL uses the first.
 _TYPE_NAMES = {
     number: name
     for name, number in reversed(vars(TType).items())
@@ -33,22 +33,22 @@
 
 
 def load_structs(name: str) -> list[Any]:
-    """Return the structs and unions of an IDL file, parsed now."""
+    """Parse an IDL file and return its structs and unions."""
     path = Path(__file__).with_name(f"{name}.thrift")
-    found = thriftpy2.load(str(path), module_name=f"{name}_thrift").__thrift_meta__
-    return [*found["structs"], *found.get("unions", [])]
+    meta = thriftpy2.load(str(path), module_name=f"{name}_thrift").__thrift_meta__
+    return [*meta["structs"], *meta.get("unions", [])]
 
 
 def format_module() -> str:
-    """Return the text of `structs.py`."""
+    """Return the source code of `structs.py`."""
     text = _HEAD
     for file in IDL_NAMES:
         for struct in load_structs(file):
             fields = ", ".join(
-                f"{number}: {_format(spec)}"
+                f"{number}: {_format_spec(spec)}"
                 for number, spec in struct.thrift_spec.items()
             )
-            text += _CLASS.format(
+            text += _CLASS_TEMPLATE.format(
                 name=struct.__name__,
                 file=file,
                 fields=fields,
@@ -57,9 +57,9 @@
     return text
 
 
-def _format(spec: object) -> str:
+def _format_spec(spec: object) -> str:
     if isinstance(spec, tuple):
-        return f"({', '.join(_format(item) for item in spec)})"
+        return f"({', '.join(_format_spec(item) for item in spec)})"
     if isinstance(spec, type):
         return spec.__name__
     if isinstance(spec, int) and not isinstance(spec, bool):
--- a/src/tamarackrill/protocol/news_codec.py
+++ b/src/tamarackrill/protocol/news_codec.py
@@ -1,4 +1,4 @@
-"""Encoding and proof of origin of news of placements; see `placement_news`."""
+"""Encoding and authentication of `News`; see `decisions.placement_news`."""
 
 from collections.abc import Iterable
 from itertools import groupby
@@ -19,37 +19,41 @@
 
 
 def encode_news(news: News, keys: tuple[str, ...]) -> bytes:
-    """Return the datagram of news, signed with the first key."""
+    """Encode news as a datagram that is authenticated with the first key."""
     payload = serialize_news(news)
     return sign(_DOMAIN_SEPARATOR + payload, keys[0]) + payload
 
 
 def decode_news(datagram: bytes, keys: tuple[str, ...]) -> News | None:
-    """Return the news of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
-    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
+    """Decode a datagram; None if it is not authentic or malformed."""
+    mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
     return deserialize_news(payload)
 
 
 def serialize_news(news: News) -> bytes:
-    """Return news without a proof."""
+    """Encode news without a MAC."""
     struct = structs.PlacementNews(
         sender=news.sender,
         stage=int(news.stage),
         holdings=[
             structs.EngineHoldings(
                 engine=engine,
-                keys=b"".join(bytes.fromhex(held.key) for held in group),
-                tokens=[held.tokens for held in group],
+                keys=b"".join(bytes.fromhex(holding.key) for holding in group),
+                tokens=[holding.tokens for holding in group],
             )
             for engine, group in _group_by_engine(news.entries)
         ],
-        full=[structs.FullEndpoint(*e) for e in _select(EndpointLoad, news.entries)],
+        full=[
+            structs.FullEndpoint(*entry)
+            for entry in _select(EndpointLoad, news.entries)
+        ],
         failing=[
-            structs.FailingEndpoint(*e) for e in _select(FailureReport, news.entries)
+            structs.FailingEndpoint(*entry)
+            for entry in _select(FailureReport, news.entries)
         ],
-        misplaced=[e.endpoint for e in _select(MisplacedReport, news.entries)],
+        misplaced=[entry.endpoint for entry in _select(MisplacedReport, news.entries)],
     )
     buffer = TMemoryBuffer()
     struct.write(TCompactProtocol(buffer))
@@ -57,12 +61,14 @@
 
 
 def deserialize_news(payload: bytes) -> News | None:
-    """Return news, or None if these bytes hold none."""
+    """Decode news without a MAC; None if it is malformed."""
     struct = structs.PlacementNews()
     try:
         struct.read(TCompactProtocol(TMemoryBuffer(payload)))
         entries: list[Entry] = [
-            held for item in struct.holdings or () for held in _read_holdings(item)
+            holding
+            for item in struct.holdings or ()
+            for holding in _read_holdings(item)
         ]
         entries += [_read_full(item) for item in struct.full or ()]
         entries += [_read_failing(item) for item in struct.failing or ()]
@@ -70,8 +76,8 @@
             MisplacedReport(require_text(name)) for name in struct.misplaced or ()
         ]
         return News(require_text(struct.sender), Stage(struct.stage), tuple(entries))
-    # The parser raises whatever the bytes lead it to; a peer of a later release must
-    # not be able to end the task that reads the socket.
+    # The parser may raise any exception; a message from a peer of a later release must
+    # not end the task that reads the socket.
     except Exception:
         return None
 
@@ -81,8 +87,8 @@
 
 
 def _group_by_engine(entries: Iterable[Entry]) -> list[tuple[str, list[Holding]]]:
-    ordered = sorted(_select(Holding, entries), key=lambda held: held.engine)
-    grouped = groupby(ordered, key=lambda held: held.engine)
+    ordered = sorted(_select(Holding, entries), key=lambda holding: holding.engine)
+    grouped = groupby(ordered, key=lambda holding: holding.engine)
     return [(engine, list(group)) for engine, group in grouped]
 
 
@@ -102,7 +108,7 @@
 def _read_holdings(struct: Any) -> list[Holding]:
     engine = require_text(struct.engine)
     if len(struct.keys) != _KEY_BYTES * len(struct.tokens):
-        raise ValueError("not as many keys as tokens")
+        raise ValueError("the numbers of keys and tokens differ")
     starts = range(0, len(struct.keys), _KEY_BYTES)
     keys = [struct.keys[start : start + _KEY_BYTES].hex() for start in starts]
     return [
--- a/src/tamarackrill/protocol/owner_codec.py
+++ b/src/tamarackrill/protocol/owner_codec.py
@@ -1,7 +1,7 @@
-"""Encoding and proof of origin of the messages to and from owners of endpoints.
+"""Encoding and authentication of the messages to and from owners of endpoints.
 
-The keyed digest covers a word of its own, so that a datagram of the gossip, on the
-same socket and with the same keys, is never taken for one of these.
+Gossip uses the same socket and keys; the domain separator prevents its datagrams from
+being accepted as these messages.
 """
 
 from typing import NamedTuple
@@ -16,7 +16,7 @@
 
 
 class Ask(NamedTuple):
-    """A home router asks an owner for a reservation.
+    """Request of a home router to an owner for a reservation.
 
     Parameters
     ----------
@@ -27,7 +27,7 @@
     endpoint : str
         Name of the endpoint.
     lapses_ms : int
-        The reservation lapses after this time if nobody releases it.
+        The reservation expires after this time unless it is released.
     is_last : bool
         See `Reservations.reserve`.
     """
@@ -40,7 +40,7 @@
 
 
 class Answer(NamedTuple):
-    """An owner's answer; see `ReservationReply`."""
+    """Response of an owner; see `ReservationReply`."""
 
     ticket: int
     is_granted: bool
@@ -48,7 +48,7 @@
 
 
 class Release(NamedTuple):
-    """A home router ends a reservation."""
+    """Notice of a home router that it no longer needs a reservation."""
 
     sender: str
     ticket: int
@@ -58,7 +58,7 @@
 
 
 def encode_owner_message(message: OwnerMessage, keys: tuple[str, ...]) -> bytes:
-    """Return the datagram of a message, signed with the first key."""
+    """Encode a message as a datagram that is authenticated with the first key."""
     name = type(message).__name__
     struct = getattr(structs, name)(**message._asdict())
     buffer = TMemoryBuffer()
@@ -68,9 +68,9 @@
 
 
 def decode_owner_message(datagram: bytes, keys: tuple[str, ...]) -> OwnerMessage | None:
-    """Return the message of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
-    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
+    """Decode a datagram; None if it is not authentic or malformed."""
+    mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
     struct = structs.OwnerMessage()
     try:
@@ -80,8 +80,8 @@
             if found is not None:
                 fields = {name: getattr(found, name) for name in kind._fields}
                 return None if None in fields.values() else kind(**fields)
-    # The parser raises whatever the bytes lead it to; a peer of a later release must
-    # not be able to end the task that reads the socket.
+    # The parser may raise any exception; a message from a peer of a later release must
+    # not end the task that reads the socket.
     except Exception:
         return None
     return None
--- a/src/tamarackrill/protocol/owners.thrift
+++ b/src/tamarackrill/protocol/owners.thrift
@@ -1,5 +1,5 @@
-// Messages between the home router of a call and the owner of an endpoint, in
-// Thrift's compact form over UDP.  Field numbers are never used again.
+// Messages between the home router of a request and the owner of an endpoint, in
+// Thrift's compact protocol over UDP.  Field numbers are never reused.
 
 struct Ask {
   1: string sender
--- a/src/tamarackrill/protocol/peer.thrift
+++ b/src/tamarackrill/protocol/peer.thrift
@@ -1,5 +1,5 @@
-// Messages between routers, in Thrift's compact form over UDP.  Field numbers are
-// never used again; a router ignores fields that it does not know.
+// Gossip between routers, in Thrift's compact protocol over UDP.  Field numbers are
+// never reused; a router ignores fields that it does not know.
 
 struct MemberRecord {
   1: string name
@@ -37,7 +37,7 @@
   7: i32 known
   8: optional string after
   9: list<ConfigurationDigest> configuration
-  // 10 was the usage of teams, which has messages of its own (usage.thrift).
+  // Field 10 was the usage of teams, which now has its own messages (usage.thrift).
   11: optional list<EndpointLoad> loads
   12: optional list<CrashCount> crashes
   13: optional list<MemberRecord> page
--- a/src/tamarackrill/protocol/placements.thrift
+++ b/src/tamarackrill/protocol/placements.thrift
@@ -1,12 +1,12 @@
-// What routers tell each other about the prompts that engines hold, in Thrift's compact
-// form over UDP, and over HTTP to a router that has just started.  Field numbers are
-// never used again.
+// Gossip between routers about the prompts that engines hold and about full, failing
+// and misplaced endpoints, in Thrift's compact protocol over UDP, and over HTTP to a
+// router that has just started.  Field numbers are never reused.
 
 struct EngineHoldings {
   1: string engine
-  // Eight bytes for each prefix.
+  // Keys of the prefixes, eight bytes each, concatenated.
   2: binary keys
-  // As many as there are prefixes.
+  // Length in tokens of each prefix, in the same order.
   3: list<i32> tokens
 }
 
@@ -17,7 +17,7 @@
 
 struct FailingEndpoint {
   1: string endpoint
-  // Hash of the name of the router that saw it.
+  // Hash of the name of the router that observed the failures.
   2: i32 teller
   3: i64 sequence
   4: byte failed
@@ -29,6 +29,6 @@
   3: list<EngineHoldings> holdings
   4: optional list<FullEndpoint> full
   5: optional list<FailingEndpoint> failing
-  // Endpoints at whose addresses others are by now.
+  // Endpoints whose addresses now belong to other endpoints.
   6: optional list<string> misplaced
 }
--- a/src/tamarackrill/protocol/usage.thrift
+++ b/src/tamarackrill/protocol/usage.thrift
@@ -1,5 +1,5 @@
-// Usage of teams between routers, in Thrift's compact form over UDP.  Field numbers
-// are never used again; a router ignores fields that it does not know.
+// Usage of teams, exchanged between routers in Thrift's compact protocol over UDP.
+// Field numbers are never reused; a router ignores fields that it does not know.
 
 struct TeamUsage {
   1: string team
--- a/src/tamarackrill/protocol/usage_codec.py
+++ b/src/tamarackrill/protocol/usage_codec.py
@@ -1,8 +1,9 @@
-"""Encoding and proof of origin of the usage that routers tell each other.
+"""Encoding and authentication of the usage reports between routers.
 
-A gossip message carries records and digests that a home does not need with each
-report; of its own, a report takes some 70 bytes and 40 to 60 for each entry.  The
-keyed digest covers a word of its own, so that no other datagram is taken for one.
+Usage has messages of its own because gossip also carries member records and digests,
+which an aggregator does not need with each report.  A report takes some 70 bytes, and
+40 to 60 for each entry.  The domain separator prevents other datagrams from being
+accepted as usage.
 """
 
 from typing import Any, NamedTuple
@@ -19,16 +20,16 @@
 
 
 class UsageMessage(NamedTuple):
-    """Entries from one router.
+    """Usage entries sent by one router.
 
     Parameters
     ----------
     sender : str
         Name of the router.
     sequence : int
-        Rises with each message of a sender, also over its restarts.
+        Increases with each message of a sender, also across its restarts.
     usages : tuple of TeamUsage
-        The entries.
+        Usage of teams; see `TeamUsage`.
     """
 
     sender: str
@@ -37,7 +38,7 @@
 
 
 def encode_usage(message: UsageMessage, keys: tuple[str, ...]) -> bytes:
-    """Return the datagram of a message, signed with the first key."""
+    """Encode a message as a datagram that is authenticated with the first key."""
     buffer = TMemoryBuffer()
     usages = [_write_usage(usage) for usage in message.usages]
     struct = structs.UsageMessage(message.sender, message.sequence, usages)
@@ -47,17 +48,17 @@
 
 
 def decode_usage(datagram: bytes, keys: tuple[str, ...]) -> UsageMessage | None:
-    """Return the message of a datagram, or None if it holds none of a peer's."""
-    digest, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
-    if not verify(digest, _DOMAIN_SEPARATOR + payload, keys):
+    """Decode a datagram; None if it is not authentic or malformed."""
+    mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
+    if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
     struct = structs.UsageMessage()
     try:
         struct.read(TCompactProtocol(TMemoryBuffer(payload)))
         usages = tuple(_read_usage(item) for item in struct.usages)
         return UsageMessage(struct.sender + "", struct.sequence + 0, usages)
-    # The parser raises whatever the bytes lead it to; a peer of a later release must
-    # not be able to end the task that reads the socket.
+    # The parser may raise any exception; a message from a peer of a later release must
+    # not end the task that reads the socket.
     except Exception:
         return None
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -78,8 +78,9 @@
 
 @given(message=messages, signing=st.sampled_from([OLD, NEW]))
 def test_both_keys_are_taken_during_a_change(message, signing):
-    # An operator changes the peer key router by router.  Were only one key taken,
-    # the routers already changed and the others would hold one another for dead.
+    # An operator rotates the peer key router by router.  If only one key were accepted,
+    # routers with the new key and those with the old key would consider each other
+    # dead.
     datagram = encode_gossip(message, (signing,))
     assert decode_gossip(datagram, (NEW, OLD)) == message
     with pytest.raises(InvalidMessage, match="stranger"):
@@ -88,9 +89,9 @@
 
 @given(datagram=st.binary(max_size=200), signed=st.booleans())
 def test_bytes_of_any_kind_raise_nothing_else(datagram, signed):
-    # Anyone who reaches the port can send bytes, and a peer of another release can
-    # sign what this one can't read.  One unforeseen error would end the task that
-    # reads the socket, and the router would be held for dead.
+    # Anyone can send arbitrary bytes to the port, and a peer of another release can
+    # sign a message that this one can't decode.  An unexpected exception would end the
+    # task that reads the socket, and the other routers would consider this one dead.
     if signed:
         datagram = sign(b"gossip\0" + datagram, NEW) + datagram
     with pytest.raises(InvalidMessage, match="malformed" if signed else "stranger"):
@@ -99,8 +100,8 @@
 
 @given(messages, st.data())
 def test_changed_byte_is_a_strangers(message, data):
-    # A stranger on the network changes a message on its way, for instance the state
-    # of a router to dead.
+    # An attacker on the network modifies a message in transit, for example the state of
+    # a router to dead.
     datagram = bytearray(encode_gossip(message, (NEW,)))
     place = data.draw(st.integers(0, len(datagram) - 1))
     datagram[place] ^= data.draw(st.integers(1, 255))
--- a/tests/test_generate.py
+++ b/tests/test_generate.py
@@ -5,7 +5,7 @@
 
 
 def describe(spec):
-    """Return the specification of fields, with structs by their names."""
+    """Return a field specification in which structs are replaced by their names."""
     if isinstance(spec, dict):
         return {number: describe(field) for number, field in spec.items()}
     if isinstance(spec, tuple):
@@ -14,9 +14,9 @@
 
 
 @pytest.mark.parametrize("file", IDL_NAMES)
-def test_committed_structs_are_those_of_the_idl(file):
-    # A field is added to an IDL file and the module that is generated from it is not
-    # written anew: routers would go on without the field, and never say so.
+def test_committed_structs_match_the_idl(file):
+    # If a field is added to an IDL file and structs.py is not regenerated, routers
+    # silently ignore the field.
     for parsed in load_structs(file):
         committed = getattr(structs, parsed.__name__)
         assert describe(committed.thrift_spec) == describe(parsed.thrift_spec)
--- a/tests/test_news_codec.py
+++ b/tests/test_news_codec.py
@@ -59,8 +59,8 @@
     assert sorted(map(repr, found.entries)) == sorted(map(repr, entries))
 
 
-def test_news_of_a_router_that_knows_nothing_of_endpoints_is_read():
-    # Routers are upgraded one by one, and those before sent no news of endpoints.
+def test_news_without_endpoint_reports_is_decoded():
+    # During a rolling upgrade, routers of an earlier release send no endpoint reports.
     struct = structs.PlacementNews(sender="r", stage=0, holdings=[])
     struct.full = struct.failing = struct.misplaced = None
     buffer = TMemoryBuffer()
@@ -69,34 +69,34 @@
 
 
 @pytest.mark.parametrize(
-    "fact",
+    "report",
     [
         EndpointLoad("i-7f3a91c2d4", 2**20),
         FailureReport("i-7f3a91c2d4", 2**31 - 1, 2**42, 127),
         MisplacedReport("i-7f3a91c2d4"),
     ],
 )
-def test_fact_takes_no_more_than_an_entry(fact):
-    # Batches are counted in entries, and must fit into one datagram.
+def test_report_is_no_larger_than_an_entry(report):
+    # Batches are limited by their number of entries, and must fit into one datagram.
     empty = len(encode_news(NEWS._replace(entries=()), KEYS))
-    datagram = encode_news(NEWS._replace(entries=(fact,) * BATCH_MAX), KEYS)
+    datagram = encode_news(NEWS._replace(entries=(report,) * BATCH_MAX), KEYS)
     assert len(datagram) - empty <= BATCH_MAX * ENTRY_BYTES
     assert len(datagram) <= UDP_PAYLOAD_MAX_BYTES
 
 
 def test_full_batch_fits_into_a_datagram():
-    # A datagram that is longer than the path takes is sent in fragments, and is lost
-    # with any of them.  The worst is news of as many engines as there are entries.
+    # A datagram above the path's MTU is fragmented, and lost if any fragment is lost.
+    # The largest batch is one in which each entry is of another engine.
     entries = tuple(HELD._replace(engine=f"i-{n:010}") for n in range(BATCH_MAX))
     datagram = encode_news(NEWS._replace(entries=entries), KEYS)
     assert len(datagram) <= UDP_PAYLOAD_MAX_BYTES
-    one = len(encode_news(NEWS, KEYS))
-    assert len(datagram) - one <= (BATCH_MAX - 1) * ENTRY_BYTES
+    single_bytes = len(encode_news(NEWS, KEYS))
+    assert len(datagram) - single_bytes <= (BATCH_MAX - 1) * ENTRY_BYTES
 
 
-def test_datagram_of_a_stranger_or_a_broken_one_is_no_news():
-    # Whoever can send a datagram could otherwise have prompts sent to an engine of his
-    # choice, or end the task that reads the socket.
+def test_forged_or_truncated_datagram_is_rejected():
+    # Otherwise anyone who can send a datagram could direct prompts to an engine of
+    # their choice, or end the task that reads the socket.
     assert decode_news(encode_news(NEWS, ("a stranger's key",)), KEYS) is None
     signed = encode_news(NEWS, KEYS)
     for length in range(len(signed)):
@@ -104,9 +104,9 @@
 
 
 @pytest.mark.parametrize("keys, tokens", [(b"12345678", []), (b"1234", [1])])
-def test_keys_and_tokens_that_do_not_fit_are_no_news(keys, tokens):
-    # A router of a later release sends what this one can't read.  It must be left out
-    # as a whole, and not be taken for other prefixes.
+def test_news_with_mismatched_keys_and_tokens_is_rejected(keys, tokens):
+    # A router of a later release sends a message that this one can't decode.  It must
+    # be rejected as a whole, not misread as other prefixes.
     holdings = structs.EngineHoldings(engine="e", keys=keys, tokens=tokens)
     struct = structs.PlacementNews(sender="r", stage=0, holdings=[holdings])
     buffer = TMemoryBuffer()
--- a/tests/test_usage_codec.py
+++ b/tests/test_usage_codec.py
@@ -6,22 +6,23 @@
 
 UDP_BYTES = 28
 KEYS = ("a key", "an older key")
-# Names as long as the estimate allows, figures of the largest team of the aim.
+# Names of the maximum length that the size estimate covers; values of the largest team
+# that the design assumes.
 ENTRY = TeamUsage("t" * 24, "other_routers", "r" * 12, 6500.0, 2.8e6, 9999, 6500.0)
 MESSAGE = UsageMessage("s" * 12, 1 << 60, (ENTRY,))
 
 
 @pytest.mark.parametrize("count", [1, 10])
-def test_message_comes_back_and_weighs_no_more_than_estimated(count):
+def test_decoding_restores_message_and_size_is_within_estimate(count):
     message = MESSAGE._replace(usages=(ENTRY,) * count)
     datagram = encode_usage(message, KEYS)
     assert decode_usage(datagram, KEYS[::-1]) == message
     assert len(datagram) + UDP_BYTES <= DIGEST_OVERHEAD_BYTES + count * ENTRY_BYTES
 
 
-def test_datagram_of_a_stranger_or_a_broken_one_is_no_message():
-    # Whoever can send a datagram could otherwise have a team refused at all routers,
-    # or end the task that reads the socket.
+def test_forged_or_truncated_datagram_is_rejected():
+    # Otherwise anyone who can send a datagram could make all routers refuse a team's
+    # requests, or end the task that reads the socket.
     datagram = encode_usage(MESSAGE, ("a stranger's key",))
     assert decode_usage(datagram, KEYS) is None
     signed = encode_usage(MESSAGE, KEYS)
