--- a/src/tamarackrill/platform/headers.py
+++ b/src/tamarackrill/platform/headers.py
@@ -60,7 +60,7 @@
     prompt_parts : tuple of PromptPart
         Parts of the prompt, in order; the last is specific to this request.
     prompt_tokens : int
-        Length of the prompt.
+        Length of the prompt in tokens.
     forwarded_headers : tuple of (str, str)
         Headers that the endpoint receives unchanged.
     """
--- a/src/tamarackrill/protocol/bulletin_codec.py
+++ b/src/tamarackrill/protocol/bulletin_codec.py
@@ -39,7 +39,7 @@
 
 
 def decode_bulletin(datagram: bytes, keys: tuple[str, ...]) -> Bulletin | None:
-    """Decode a datagram; None if it is not authentic or malformed."""
+    """Decode a datagram; None if it is malformed or not authentic."""
     mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
     if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
--- a/src/tamarackrill/protocol/codec.py
+++ b/src/tamarackrill/protocol/codec.py
@@ -38,7 +38,7 @@
 
 
 class InvalidMessage(ValueError):
-    """Raised for a datagram that is not authentic or malformed.
+    """Raised for a datagram that is malformed or not authentic.
 
     Parameters
     ----------
@@ -80,7 +80,7 @@
     Raises
     ------
     InvalidMessage
-        If it is not authentic or malformed.
+        If it is malformed or not authentic.
     """
     mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
     if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
--- a/src/tamarackrill/protocol/news_codec.py
+++ b/src/tamarackrill/protocol/news_codec.py
@@ -25,7 +25,7 @@
 
 
 def decode_news(datagram: bytes, keys: tuple[str, ...]) -> News | None:
-    """Decode a datagram; None if it is not authentic or malformed."""
+    """Decode a datagram; None if it is malformed or not authentic."""
     mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
     if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
--- a/src/tamarackrill/protocol/owner_codec.py
+++ b/src/tamarackrill/protocol/owner_codec.py
@@ -68,7 +68,7 @@
 
 
 def decode_owner_message(datagram: bytes, keys: tuple[str, ...]) -> OwnerMessage | None:
-    """Decode a datagram; None if it is not authentic or malformed."""
+    """Decode a datagram; None if it is malformed or not authentic."""
     mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
     if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
--- a/src/tamarackrill/protocol/usage_codec.py
+++ b/src/tamarackrill/protocol/usage_codec.py
@@ -48,7 +48,7 @@
 
 
 def decode_usage(datagram: bytes, keys: tuple[str, ...]) -> UsageMessage | None:
-    """Decode a datagram; None if it is not authentic or malformed."""
+    """Decode a datagram; None if it is malformed or not authentic."""
     mac, payload = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
     if not verify(mac, _DOMAIN_SEPARATOR + payload, keys):
         return None
