--- a/src/tamarackrill/router/edge_attempts.py
+++ b/src/tamarackrill/router/edge_attempts.py
@@ -14,10 +14,10 @@
 from tamarackrill.decisions.event_stream import EventStream, EventStreamError
 from tamarackrill.events import CALL_SENT, log_event
 from tamarackrill.platform.headers import (
-    AnswerHeaders,
-    list_passed_back,
-    read_answer,
-    write_request,
+    ResponseHeaders,
+    build_request_headers,
+    filter_response_headers,
+    parse_response_headers,
 )
 from tamarackrill.router.channel_pool import ChannelPool
 from tamarackrill.router.channels import (
@@ -236,7 +236,7 @@
         call = progress.call
         has_body = bool(call.body) or call.method in ("POST", "PUT", "PATCH")
         copy_source = placed.copy_from
-        headers = write_request(
+        headers = build_request_headers(
             call.headers,
             placed.endpoint.name,
             call.team,
@@ -250,10 +250,10 @@
 
     async def _read_matching_head(
         self, call: EdgeCall, channel: Channel
-    ) -> tuple[ResponseHead, AnswerHeaders]:
+    ) -> tuple[ResponseHead, ResponseHeaders]:
         for _ in range(MISMATCHED_ANSWERS_MAX + 1):
             head = await channel.read_head()
-            answer_headers = read_answer(head.by_name)
+            answer_headers = parse_response_headers(head.by_name)
             if answer_headers.request_id == call.request_id:
                 return head, answer_headers
             # On a new connection, a refusal without an id belongs to this request.
@@ -273,7 +273,7 @@
         placed: EdgePlacement,
         channel: Channel,
         head: ResponseHead,
-        answer_headers: AnswerHeaders,
+        answer_headers: ResponseHeaders,
     ) -> AttemptResult:
         if head.status == MISDIRECTED_REQUEST or answer_headers.has_not_run:
             await _read_body(channel)
@@ -282,7 +282,9 @@
             )
             return AttemptResult(outcome, f"status {head.status}")
         is_ok = OK_MIN <= head.status <= OK_MAX
-        if is_ok and (not answer_headers.is_signed or answer_headers.is_encoded):
+        if is_ok and (
+            not answer_headers.is_signed or answer_headers.has_content_encoding
+        ):
             raise ChannelError("response is unsigned or has a content encoding")
         if is_ok and answer_headers.is_event_stream:
             await self._relay(progress, placed, channel, head)
@@ -293,7 +295,9 @@
             return AttemptResult("failed", f"status {head.status}", answer)
         if progress.reply.has_begun:
             raise ChannelError(f"stream resumed with status {head.status}")
-        await progress.reply.begin(head.status, list_passed_back(head.headers), body)
+        await progress.reply.begin(
+            head.status, filter_response_headers(head.headers), body
+        )
         return AttemptResult("answered")
 
     async def _relay(
@@ -313,7 +317,9 @@
             events = stream.take(piece) if piece else stream.finish()
             if events or not piece:
                 if not reply.has_begun:
-                    await reply.begin(head.status, list_passed_back(head.headers))
+                    await reply.begin(
+                        head.status, filter_response_headers(head.headers)
+                    )
                 if events:
                     await reply.write(events)
                     now_s = self._clock()
--- a/src/tamarackrill/router/edge_daemon.py
+++ b/src/tamarackrill/router/edge_daemon.py
@@ -23,7 +23,7 @@
     check_bindable(list_listen_addresses(options))
     settings = options.settings
     address = settings.callers_address
-    with report_bind_error(settings.find_place("callers_address"), address):
+    with report_bind_error(settings.get_field_location("callers_address"), address):
         listener = open_listener(address)
 
     from tamarackrill.router.edge_process import run
--- a/src/tamarackrill/router/edge_options.py
+++ b/src/tamarackrill/router/edge_options.py
@@ -6,8 +6,8 @@
 
 from tamarackrill.exceptions import Finding, FindingsError
 from tamarackrill.platform.settings_file import (
-    PATH_VARIABLE,
     PORT_MAX,
+    SETTINGS_PATH_VARIABLE,
     PlatformSettings,
     is_address,
     parse_settings,
@@ -54,14 +54,14 @@
     FindingsError
         With all errors in the environment or, if there are none, in the settings file.
     """
-    path = os.environ.get(PATH_VARIABLE, "")
+    path = os.environ.get(SETTINGS_PATH_VARIABLE, "")
     keys = os.environ.get(PEER_KEYS_VARIABLE, "").split(",")
     peer_keys = tuple(key.strip() for key in keys if key.strip())
     port = os.environ.get(METRICS_PORT_VARIABLE, str(METRICS_PORT))
     peer_address = os.environ.get(PEER_ADDRESS_VARIABLE, "")
     findings = []
     if not path:
-        findings.append(Finding(PATH_VARIABLE, "is not set"))
+        findings.append(Finding(SETTINGS_PATH_VARIABLE, "is not set"))
     if not peer_keys:
         findings.append(Finding(PEER_KEYS_VARIABLE, "contains no key"))
     if not port.isdigit() or not 0 < int(port) <= PORT_MAX:
@@ -79,11 +79,13 @@
     """Return all addresses that a router listens on."""
     settings = options.settings
     peer_address = f"{settings.ip}:{settings.peer_port}"
-    peers = settings.find_place("peer_port")
+    peers = settings.get_field_location("peer_port")
     return [
-        ListenAddress(settings.find_place("callers_address"), settings.callers_address),
         ListenAddress(
-            settings.find_place("readiness_address"), settings.readiness_address
+            settings.get_field_location("callers_address"), settings.callers_address
+        ),
+        ListenAddress(
+            settings.get_field_location("readiness_address"), settings.readiness_address
         ),
         ListenAddress(peers, peer_address),
         ListenAddress(peers, peer_address, socket.SOCK_DGRAM),
--- a/src/tamarackrill/router/placement_gossip.py
+++ b/src/tamarackrill/router/placement_gossip.py
@@ -24,9 +24,9 @@
 )
 from tamarackrill.protocol.news_codec import (
     decode_news,
+    deserialize_news,
     encode_news,
-    read_news,
-    write_news,
+    serialize_news,
 )
 from tamarackrill.router.background import log_task_failure
 from tamarackrill.router.members import Member, Members
@@ -120,7 +120,7 @@
         entries = tuple(
             Holding(h.endpoint, key, h.tokens) for key, h in reversed(found)
         )
-        return write_news(News(self._members.own.name, Stage.TO_ROUTER, entries))
+        return serialize_news(News(self._members.own.name, Stage.TO_ROUTER, entries))
 
     def handle_datagram(self, datagram: bytes, source: str) -> bool:
         """Process a datagram; return whether it was a placement news message."""
@@ -198,7 +198,7 @@
 
     async def _load_snapshot_from(self, peer: Member) -> bool:
         try:
-            news = read_news(await self._pull(peer.peer_address))
+            news = deserialize_news(await self._pull(peer.peer_address))
         except PeerUnavailable as error:
             log_event(PLACEMENTS_NOT_LEARNED, peer=peer.name, reason=error.message)
             return False
