--- a/src/tamarackrill/logs.py
+++ b/src/tamarackrill/logs.py
@@ -48,7 +48,7 @@
         event_lines_per_s: int = EVENT_LINES_PER_S,
     ) -> None:
         self.size_bytes = 0
-        self.left_out: Counter[str] = Counter()
+        self.dropped: Counter[str] = Counter()
         self._max_bytes = max_bytes
         self._event_lines_per_s = event_lines_per_s
         self._urgent: deque[tuple[str, bytes]] = deque()
@@ -72,7 +72,7 @@
             self._counts.clear()
         self._counts[event] += 1
         if self._counts[event] > self._event_lines_per_s:
-            self.left_out[event] += 1
+            self.dropped[event] += 1
             return False
         return True
 
@@ -87,7 +87,7 @@
     def _drop_one(self) -> None:
         event, line = (self._routine or self._urgent).popleft()
         self.size_bytes -= len(line)
-        self.left_out[event] += 1
+        self.dropped[event] += 1
 
     def take(self, max_bytes: int) -> bytes:
         """Return the next whole lines, at most so many bytes unless one is longer."""
@@ -101,10 +101,10 @@
         self.size_bytes -= size_bytes
         return b"".join(taken)
 
-    def take_left_out(self) -> dict[str, int]:
+    def take_drop_counts(self) -> dict[str, int]:
         """Return how many lines were left out by event, and begin anew."""
-        found = dict(self.left_out)
-        self.left_out.clear()
+        found = dict(self.dropped)
+        self.dropped.clear()
         return found
 
 
@@ -151,11 +151,11 @@
     def _is_ready(self) -> bool:
         return bool(select.select([], [self._fd], [], 0)[1])
 
-    def report_left_out(self) -> None:
+    def report_dropped(self) -> None:
         """Log how many lines were left out since the last time."""
-        left_out = self.buffer.take_left_out()
-        if left_out:
-            events.log_event(events.LINES_LEFT_OUT, lines=left_out)
+        dropped = self.buffer.take_drop_counts()
+        if dropped:
+            events.log_event(events.LINES_LEFT_OUT, lines=dropped)
 
 
 def set_up_bounded_logs() -> BoundedHandler:
--- a/src/tamarackrill/router/edge_process.py
+++ b/src/tamarackrill/router/edge_process.py
@@ -25,7 +25,7 @@
     log = set_up_bounded_logs()
 
     def flush_log() -> None:
-        log.report_left_out()
+        log.report_dropped()
         log.flush()
 
     application = EdgeApplication(
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -46,9 +46,9 @@
     for _ in range(100):
         buffer.offer("a", b"line\n", False, 5.2)
     assert buffer.size_bytes == 50
-    assert buffer.take_left_out() == {"a": 90}
+    assert buffer.take_drop_counts() == {"a": 90}
     buffer.offer("a", b"line\n", False, 6.0)
-    assert buffer.take_left_out() == {}
+    assert buffer.take_drop_counts() == {}
 
 
 def test_lines_of_served_requests_are_left_out_before_those_of_refused_ones():
@@ -59,7 +59,7 @@
     for _ in range(50):
         buffer.offer("served", b"served...\n", False, 0.0)
     assert b"refused" in buffer.take(1000)
-    assert buffer.take_left_out() == {"served": 41}
+    assert buffer.take_drop_counts() == {"served": 41}
 
 
 def test_whole_lines_are_taken():
@@ -78,7 +78,7 @@
         for number in range(2000):
             refuse(number)
             handler.flush()
-    assert handler.buffer.left_out["call_refused"] > 0
+    assert handler.buffer.dropped["call_refused"] > 0
     os.close(reading)
     os.close(writing)
 
