--- a/src/tamarackrill/contracts.py
+++ b/src/tamarackrill/contracts.py
@@ -1,12 +1,13 @@
-"""Objects of the platform that the fleet reads: contracts, endpoints and VMs.
+"""Platform objects that the fleet reads: contracts, endpoints and VMs.
 
-A contract is all that an operator writes; every limit that the fleet applies to a
-team follows from it.  Endpoints announce themselves; the VM list is the platform's.
+Operators write only contracts; every limit that the fleet applies to a team is
+derived from its contract.  Endpoints register themselves, and the platform maintains
+the VM list.
 
-The published schemas are contract.schema.json and endpoint.schema.json, beside this
-module.  An operator's file is checked in full (`check_contract`); a router passes
-over fields that it does not know (`read_contract`), so that a fleet in the middle of
-an upgrade can read what a newer command line wrote.
+The published schemas are contract.schema.json and endpoint.schema.json, next to this
+module.  An operator's file is validated strictly (`check_contract`).  A router ignores
+unknown fields (`read_contract`), so that during a rolling upgrade it can read what a
+newer command line wrote.
 """
 
 import hashlib
@@ -28,7 +29,7 @@
 
 
 class CallPattern(NamedTuple):
-    """Calls of a service: a method (``*`` for any) and a prefix of the path."""
+    """Matches calls to a service by method (``*`` for any) and path prefix."""
 
     service: str
     method: str
@@ -36,33 +37,32 @@
 
 
 class Contract(NamedTuple):
-    """What one team may do and what it is promised.
+    """Access rights, limits and defaults of one team.
 
     Parameters
     ----------
     team : str
-        Name of the team; also the name of the object on the platform.
+        Name of the team, and of its object on the platform.
     key_hashes : tuple of str
-        SHA-256 of each accepted key, in hexadecimal.
+        Hexadecimal SHA-256 hash of each accepted key.
     models, services : tuple of str
-        What the team may call.
+        Models and services that the team may call.
     weight : int
         Share of a contended endpoint pool, relative to other teams.
     priority : int
-        Priority of a request that names none, among the team's own requests; higher
-        goes first.
+        Default priority among the team's own requests; higher is served first.
     rate_per_s, rate_burst : float
-        Requests a second over the whole fleet, and how many may come at once.
+        Requests per second across the fleet, and the burst size.
     in_flight_max : int
-        Requests at endpoints or waiting, over the whole fleet.
+        Requests queued or at endpoints, across the fleet.
     tokens_per_s, tokens_burst : float
-        Generated tokens a second over the whole fleet.
+        Generated tokens per second across the fleet, and the burst size.
     deadline_s, deadline_max_s : float
-        Deadline of a request that names none, and the latest that one may name.
+        Default deadline, and the longest one that a request may set.
     non_idempotent : tuple of CallPattern
-        Calls that run at most once; they need an ``Idempotency-Key``.
+        Calls that run at most once; they require an ``Idempotency-Key``.
     answers_kept_s : float
-        How long an answer is kept for a resend.
+        How long a response is kept for retries.
     """
 
     team: str
@@ -83,7 +83,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One back end: a model engine or one worker of a plain service.
+    """One endpoint: a model engine or a worker of a plain service.
 
     Parameters
     ----------
@@ -92,23 +92,23 @@
     kind : {"engine", "service"}
         Model engine, or worker of a plain service.
     serves : tuple of str
-        Models of an engine, or the one name of a service.
+        Models of an engine, or the name of the one service.
     address : str
-        ``host:port`` by IP number.
+        ``host:port`` with an IP address as the host.
     zone : str
         Availability zone.
     state : {"live", "leaving"}
-        A leaving endpoint gets no new work.
+        A leaving endpoint gets no new requests.
     slots : int
-        Requests that it works on at once; the unit of load is one request.
+        Requests processed concurrently; load is counted in requests.
     models_max : int
-        Models that an engine can hold; it may be ordered to load more than it
-        serves now.
+        Maximum number of models that an engine can have loaded, which may exceed
+        the number that it serves now.
     vm : str
-        Name of its VM on the platform's list; empty if it is the endpoint's own.
+        Name of its VM on the platform's list; empty if the VM is the endpoint's own.
     started_ms : int or None
-        Start of its process in ms since the epoch, by its own clock; None if it does
-        not tell.
+        Start time of its process in ms since the epoch, by its own clock; None if
+        not reported.
     """
 
     name: str
@@ -124,18 +124,18 @@
 
 
 class Vm(NamedTuple):
-    """One line of the platform's VM list, which lags.
+    """One entry of the platform's VM list, which may be out of date.
 
     Parameters
     ----------
     name : str
         Name of the VM.
     address : str
-        ``host:port`` for callers.
+        ``host:port`` for clients.
     zone : str
         Availability zone.
     state : {"live", "leaving"}
-        As the platform saw it some time ago.
+        Last state that the platform observed.
     peer_address : str
         ``host:port`` for other routers; empty for a VM that runs no router.
     """
@@ -148,17 +148,17 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the hash of a team's key as a contract holds it."""
+    """Return the hash of a team's key as stored in `Contract.key_hashes`."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def read_contract(value: Any) -> Contract:
-    """Return the contract that an object's value describes.
+    """Build a contract from the value of a stored object.
 
     Parameters
     ----------
     value : dict
-        JSON value of an object of kind ``contract``.  Unknown fields are passed over.
+        JSON value of an object of kind ``contract``.  Unknown fields are ignored.
 
     Returns
     -------
@@ -167,18 +167,18 @@
     Raises
     ------
     FindingsError
-        If a known field is absent, malformed or out of range.
+        If a known field is missing, malformed or out of range.
     """
     if isinstance(value, dict):
         value = {"format": CONTRACT_FORMAT, **value}
-    findings = _find_faults("contract", Document("contract", value, {}), strict=False)
+    findings = _validate("contract", Document("contract", value, {}), strict=False)
     if findings:
         raise FindingsError(findings)
     return _build_contract(value)
 
 
 def check_contract(document: Document) -> Contract:
-    """Return the contract that an operator's file describes.
+    """Validate an operator's file and return its contract.
 
     Parameters
     ----------
@@ -192,26 +192,26 @@
     Raises
     ------
     FindingsError
-        Lists all faults of the file, unknown fields included, with their lines.
+        Lists all errors in the file, including unknown fields, with their lines.
     """
     findings = [*document.findings]
-    findings.extend(_find_faults("contract", document, strict=True))
+    findings.extend(_validate("contract", document, strict=True))
     if findings:
         raise FindingsError(findings)
     return _build_contract(document.value)
 
 
 def check_contracts(documents: list[Document]) -> list[Contract]:
-    """Return the contracts of several files, which must fit each other.
+    """Validate several files together and return their contracts.
 
     Raises
     ------
     FindingsError
-        Lists the faults of all files together, and teams or keys that stand twice.
+        Lists the errors of all files, including duplicate teams and keys.
     """
     findings: list[Finding] = []
     contracts: list[Contract] = []
-    places: dict[str, str] = {}
+    seen: dict[str, str] = {}
     for document in documents:
         try:
             contract = check_contract(document)
@@ -219,21 +219,21 @@
             findings.extend(error.findings)
             continue
         contracts.append(contract)
-        findings.extend(_find_repeated(document, contract, places))
+        findings.extend(_find_duplicates(document, contract, seen))
     if findings:
         raise FindingsError(findings)
     return contracts
 
 
 def read_endpoint(value: Any) -> Endpoint:
-    """Return the endpoint that an object's value describes.
+    """Build an endpoint from the value of a stored object.
 
     Raises
     ------
     FindingsError
-        If a known field is absent, malformed or out of range.
+        If a known field is missing, malformed or out of range.
     """
-    findings = _find_faults("endpoint", Document("endpoint", value, {}), strict=False)
+    findings = _validate("endpoint", Document("endpoint", value, {}), strict=False)
     if findings:
         raise FindingsError(findings)
     fields = {name: value[name] for name in Endpoint._fields if name in value}
@@ -243,7 +243,7 @@
 
 def load_schema(kind: str) -> dict[str, Any]:
     """Return the published schema of ``"contract"`` or ``"endpoint"``."""
-    # Takes 15 ms to load, which a router that reads no contracts is spared.
+    # Imported late: takes 15 ms; a router without contracts never needs it.
     from importlib import resources
 
     file = resources.files("tamarackrill").joinpath(f"{kind}.schema.json")
@@ -262,8 +262,8 @@
     return Contract(**fields)
 
 
-def _find_nearest(name: str, known: Iterable[str]) -> list[str]:
-    # Needed for a file with faults alone.
+def _find_close_matches(name: str, known: Iterable[str]) -> list[str]:
+    # Imported late: only needed for an invalid file.
     import difflib
 
     return difflib.get_close_matches(name, list(known), n=1)
@@ -271,72 +271,72 @@
 
 @cache
 def _make_validator(kind: str) -> Any:
-    # Loading it takes 60 ms and 9 MB, which a router that reads no contracts is spared.
+    # Imported late: takes 60 ms and 9 MB; a router without contracts never needs it.
     import jsonschema
 
     return jsonschema.Draft202012Validator(load_schema(kind))
 
 
-def _find_faults(kind: str, document: Document, strict: bool) -> list[Finding]:
+def _validate(kind: str, document: Document, strict: bool) -> list[Finding]:
     findings: list[Finding] = []
     for error in _make_validator(kind).iter_errors(document.value):
         if error.validator == "additionalProperties":
-            findings.extend(_find_unknown(document, error) if strict else ())
+            findings.extend(_find_unknown_fields(document, error) if strict else ())
         else:
             place = document.place(tuple(error.absolute_path))
-            findings.append(Finding(place, _describe(error)))
+            findings.append(Finding(place, _describe_error(error)))
     if not findings and kind == "contract":
-        findings.extend(_find_contradictions(document))
+        findings.extend(_find_inconsistencies(document))
     return findings
 
 
-def _find_unknown(document: Document, error: Any) -> Iterator[Finding]:
+def _find_unknown_fields(document: Document, error: Any) -> Iterator[Finding]:
     known = error.schema["properties"]
     for name in error.instance:
         if name in known:
             continue
-        nearest = _find_nearest(name, known)
-        hint = f"did you mean {nearest[0]!r}?" if nearest else ""
+        matches = _find_close_matches(name, known)
+        hint = f"did you mean {matches[0]!r}?" if matches else ""
         place = document.place((*error.absolute_path, name))
         yield Finding(place, "unknown field", hint)
 
 
-def _describe(error: Any) -> str:
+def _describe_error(error: Any) -> str:
     unit = error.schema.get("unit")
     suffix = f" {unit}" if unit else ""
-    # An operator may paste the key itself in place of its hash; findings are shown
-    # and logged, so the value isn't repeated there.
+    # An operator may paste the key itself instead of its hash.  Findings are printed
+    # and logged, so they must not contain the value.
     secret = "key_hashes" in error.absolute_path
-    shown = "the value" if secret else _shorten(error.instance)
+    shown = "the value" if secret else _truncate(error.instance)
     match error.validator:
         case "minimum":
-            return f"{shown} is below the least value, {error.validator_value}{suffix}"
+            return f"{shown} is below the minimum of {error.validator_value}{suffix}"
         case "maximum":
-            return f"{shown} is above the most, {error.validator_value}{suffix}"
+            return f"{shown} is above the maximum of {error.validator_value}{suffix}"
         case "required":
             missing = error.message.split("'")[1]
             return f"field {missing!r} is missing"
         case "pattern":
-            wanted = error.schema.get("description") or error.validator_value
-            return f"{shown} does not have the form wanted: {wanted}"
+            expected = error.schema.get("description") or error.validator_value
+            return f"{shown} does not match the expected format: {expected}"
         case "minItems":
             return f"needs at least {error.validator_value} item(s)"
         case "const" | "enum":
-            wanted = error.validator_value
-            choices = wanted if isinstance(wanted, list) else [wanted]
-            return f"{shown} is none of {', '.join(map(str, choices))}"
+            expected = error.validator_value
+            choices = expected if isinstance(expected, list) else [expected]
+            return f"{shown} is not one of {', '.join(map(str, choices))}"
         case "type":
-            return f"{shown} is no {error.validator_value}"
-    return f"{shown} breaks the rule {error.validator}"
+            return f"{shown} is not of type {error.validator_value}"
+    return f"{shown} violates the schema rule {error.validator}"
 
 
-def _shorten(value: Any, length: int = 40) -> str:
+def _truncate(value: Any, length: int = 40) -> str:
     text = json.dumps(value, default=str)
     return text if len(text) <= length else text[: length - 3] + "..."
 
 
-def _find_contradictions(document: Document) -> Iterator[Finding]:
-    """Yield faults that only show when fields are read together."""
+def _find_inconsistencies(document: Document) -> Iterator[Finding]:
+    """Yield errors in combinations of fields that are valid by themselves."""
     contract = _build_contract(document.value)
 
     def find(path: FieldPath, message: str, hint: str = "") -> Finding:
@@ -345,34 +345,34 @@
     if contract.deadline_s > contract.deadline_max_s:
         yield find(
             ("deadline_s",),
-            f"{contract.deadline_s:g} s is later than deadline_max_s, "
+            f"{contract.deadline_s:g} s exceeds deadline_max_s, "
             f"{contract.deadline_max_s:g} s",
         )
     if not contract.models and not contract.services:
-        yield find((), "the team may call nothing", "give models or services")
+        yield find((), "the team may not call anything", "give models or services")
     if hash_key("") in contract.key_hashes:
         number = contract.key_hashes.index(hash_key(""))
         yield find(("key_hashes", number), "is the hash of an empty key")
     for number, pattern in enumerate(contract.non_idempotent):
         if pattern.service not in contract.services:
             path = ("non_idempotent", number, "service")
-            nearest = _find_nearest(pattern.service, contract.services)
-            hint = f"did you mean {nearest[0]!r}?" if nearest else "add it to services"
-            yield find(path, f"{pattern.service!r} is not among services", hint)
+            matches = _find_close_matches(pattern.service, contract.services)
+            hint = f"did you mean {matches[0]!r}?" if matches else "add it to services"
+            yield find(path, f"{pattern.service!r} is not listed in services", hint)
 
 
-def _find_repeated(
-    document: Document, contract: Contract, places: dict[str, str]
+def _find_duplicates(
+    document: Document, contract: Contract, seen: dict[str, str]
 ) -> Iterator[Finding]:
-    """Yield teams and keys that another file holds already; extends `places`."""
+    """Yield teams and keys already used in another file; adds to `seen`."""
     listed: list[tuple[FieldPath, str, str]] = [(("team",), contract.team, "team")]
     listed += [
         (("key_hashes", number), key_hash, "key")
         for number, key_hash in enumerate(contract.key_hashes)
     ]
-    for path, value, what in listed:
+    for path, value, label in listed:
         place = document.place(path)
-        # A key that two teams hold would name either of them, by chance.
-        if value in places:
-            yield Finding(place, f"same {what} as {places[value]}")
-        places.setdefault(value, place)
+        # With one key for two teams, the fleet could not tell which team is calling.
+        if value in seen:
+            yield Finding(place, f"same {label} as {seen[value]}")
+        seen.setdefault(value, place)
--- a/src/tamarackrill/documents.py
+++ b/src/tamarackrill/documents.py
@@ -1,8 +1,8 @@
-"""JSON files whose values know the line they stand on.
+"""Parse JSON files and record the line of each value.
 
-A finding about a contract names the line and the field, so that an operator finds
-a fault in a long file at once.  The standard library's JSON parser does the work;
-this module only notes where each value began.
+A finding about a contract names the line and the field, so that an operator can
+locate an error in a long file.  The standard library's decoder parses the text; this
+module only records where each value starts.
 """
 
 import json
@@ -21,13 +21,13 @@
     Parameters
     ----------
     name : str
-        Name of the file, or of the place that the text came from.
+        Name of the file or other source of the text.
     value : object
         The parsed value.
     lines : dict
-        Line, counted from 1, of the value at each path of fields.
+        1-based line number of the value at each field path.
     findings : tuple of Finding
-        Faults that the parser would pass over, such as a field given twice.
+        Errors that the standard parser ignores, such as duplicate fields.
     """
 
     name: str
@@ -47,30 +47,32 @@
         return ": ".join(parts)
 
 
-class _Placed(NamedTuple):
+class _LocatedValue(NamedTuple):
     value: Any
     start: int
 
 
-class _Fields(NamedTuple):
-    pairs: list[tuple[str, _Placed]]
+class _ObjectPairs(NamedTuple):
+    pairs: list[tuple[str, _LocatedValue]]
 
 
-class _PlacingDecoder(json.JSONDecoder):
-    """The library's decoder, whose values carry the index that they began at."""
+class _LocatingDecoder(json.JSONDecoder):
+    """JSON decoder that returns each value with its start index."""
 
     def __init__(self) -> None:
-        super().__init__(object_pairs_hook=_Fields, parse_constant=_refuse_constant)
-        # The library hands its own scanner down to nested values; both parsers are
-        # wrapped so that nested values go through `_scan` and get their index too.
+        super().__init__(
+            object_pairs_hook=_ObjectPairs, parse_constant=_reject_constant
+        )
+        # The standard decoder passes its own scanner to nested values; both parsers
+        # are wrapped so that nested values go through `_scan` and get an index too.
         self.parse_object = self._parse_object
         self.parse_array = self._parse_array
         self._scan_value = scanner.py_make_scanner(self)  # type: ignore[attr-defined]
         self.scan_once = self._scan
 
-    def _scan(self, text: str, index: int) -> tuple[_Placed, int]:
+    def _scan(self, text: str, index: int) -> tuple[_LocatedValue, int]:
         value, end = self._scan_value(text, index)
-        return _Placed(value, index), end
+        return _LocatedValue(value, index), end
 
     def _parse_object(self, text_and_end: Any, strict: bool, _: Any, *rest: Any) -> Any:
         parse = decoder.JSONObject  # type: ignore[attr-defined]
@@ -81,12 +83,12 @@
         return parse(text_and_end, self._scan, *rest)
 
 
-def _refuse_constant(name: str) -> Any:
-    raise ValueError(f"{name} is no JSON number")
+def _reject_constant(name: str) -> Any:
+    raise ValueError(f"{name} is not a valid JSON number")
 
 
 def format_path(path: FieldPath) -> str:
-    """Return a path of fields as ``calls[0].method``."""
+    """Return a field path in the form ``calls[0].method``."""
     text = ""
     for part in path:
         text += f"[{part}]" if isinstance(part, int) else f".{part}"
@@ -94,12 +96,12 @@
 
 
 def parse_document(name: str, text: str) -> Document:
-    """Return the parsed text.
+    """Parse a JSON text.
 
     Parameters
     ----------
     name : str
-        Named in findings.
+        Name of the source, for findings.
     text : str
         JSON text.
 
@@ -110,56 +112,56 @@
     Raises
     ------
     FindingsError
-        If the text is no JSON; names the line.
+        If the text is not valid JSON; the finding names the line.
     """
     try:
-        placed = _PlacingDecoder().decode(text)
+        located = _LocatingDecoder().decode(text)
     except json.JSONDecodeError as error:
         place = f"{name}:{error.lineno}"
-        raise FindingsError([Finding(place, f"no JSON: {error.msg}")]) from error
+        raise FindingsError([Finding(place, f"invalid JSON: {error.msg}")]) from error
     except (ValueError, RecursionError) as error:
-        raise FindingsError([Finding(name, f"no JSON: {error}")]) from error
+        raise FindingsError([Finding(name, f"invalid JSON: {error}")]) from error
     lines: dict[FieldPath, int] = {}
     findings: list[Finding] = []
-    value = _unwrap(placed, (), text, name, lines, findings)
+    value = _build_value(located, (), text, name, lines, findings)
     return Document(name, value, lines, tuple(findings))
 
 
 def read_document(path: str) -> Document:
-    """Return the parsed file.
+    """Read and parse a JSON file.
 
     Raises
     ------
     FindingsError
-        If the file can't be read or is no JSON.
+        If the file can't be read or is not valid JSON.
     """
     return parse_document(path, read_text(path))
 
 
-def _unwrap(
-    placed: _Placed,
+def _build_value(
+    located: _LocatedValue,
     path: FieldPath,
     text: str,
     name: str,
     lines: dict[FieldPath, int],
     findings: list[Finding],
 ) -> Any:
-    lines[path] = text.count("\n", 0, placed.start) + 1
-    value = placed.value
+    lines[path] = text.count("\n", 0, located.start) + 1
+    value = located.value
     if isinstance(value, list):
         return [
-            _unwrap(item, (*path, number), text, name, lines, findings)
+            _build_value(item, (*path, number), text, name, lines, findings)
             for number, item in enumerate(value)
         ]
-    if not isinstance(value, _Fields):
+    if not isinstance(value, _ObjectPairs):
         return value
     fields: dict[str, Any] = {}
     for key, item in value.pairs:
-        # The library keeps the last of two fields of one name without a word; an
-        # operator who edited the first would see a change that has no effect.
-        repeated = key in fields
-        fields[key] = _unwrap(item, (*path, key), text, name, lines, findings)
-        if repeated:
+        # The standard decoder silently keeps the last of two fields with the same
+        # name; an operator's edit of the first one would have no effect.
+        is_duplicate = key in fields
+        fields[key] = _build_value(item, (*path, key), text, name, lines, findings)
+        if is_duplicate:
             place = f"{name}:{lines[(*path, key)]}: {format_path((*path, key))}"
             findings.append(Finding(place, "field is given twice"))
     return fields
