--- a/src/tamarackrill/settings.py
+++ b/src/tamarackrill/settings.py
@@ -1,9 +1,9 @@
-"""Settings of the daemon: flags and environment variables, declared once.
+"""Settings of the daemon, from flags and environment variables.
 
-A flag ``--peer-port`` is also the variable ``TAMARACKRILL_PEER_PORT``; the flag
-wins.  All faults are reported together, each with its place.  ``--check`` ends the
-process after the check and ``--show-settings`` after listing what would be in force,
-as ``--help`` does.
+The flag ``--peer-port`` corresponds to the variable ``TAMARACKRILL_PEER_PORT`` and
+takes precedence over it.  All errors are reported together, each with its flag or
+variable.  ``--check`` exits after validating the settings and ``--show-settings`` after
+listing the effective ones.
 """
 
 import argparse
@@ -24,27 +24,27 @@
     Parameters
     ----------
     name : str
-        Field of `Settings`; also gives the flag and the variable.
+        Field of `Settings`; the flag and the variable are derived from it.
     parse : callable
-        Turns text into the value; raises ValueError with a reason.
+        Parses the text; raises ValueError with a reason.
     default : str or None
-        Text that stands in if none is given; None for a setting that is required.
+        Default, as text; None for a required setting.
     doc : str
-        What it is for.
-    least, most : float, optional
-        Range, bounds included.
+        Description for help and findings.
+    minimum, maximum : float, optional
+        Inclusive range.
     unit : str, optional
         Unit of the value, for help and findings.
     secret : bool, default=False
-        The value is never shown.
+        Whether to hide the value in all output.
     """
 
     name: str
     parse: Callable[[str], Any]
     default: str | None
     doc: str
-    least: float | None = None
-    most: float | None = None
+    minimum: float | None = None
+    maximum: float | None = None
     unit: str = ""
     secret: bool = False
 
@@ -60,7 +60,7 @@
 
 
 class Settings(NamedTuple):
-    """Checked settings of one daemon; units are in the names."""
+    """Validated settings of one daemon; field names include the units."""
 
     name: str
     zone: str
@@ -81,7 +81,7 @@
 def _parse_peer_keys(text: str) -> tuple[str, ...]:
     keys = tuple(part.strip() for part in text.split(",") if part.strip())
     if not 1 <= len(keys) <= 2:
-        raise ValueError(f"holds {len(keys)} keys, not one or two")
+        raise ValueError(f"expected one or two keys, got {len(keys)}")
     return keys
 
 
@@ -89,17 +89,17 @@
     try:
         return int(text)
     except ValueError as error:
-        raise ValueError(f"{text!r} is no whole number") from error
+        raise ValueError(f"{text!r} is not an integer") from error
 
 
 def _parse_number(text: str) -> float:
     try:
         value = float(text)
     except ValueError as error:
-        raise ValueError(f"{text!r} is no number") from error
-    # NaN compares false with both bounds of a range and would pass the check.
+        raise ValueError(f"{text!r} is not a number") from error
+    # NaN compares false with both bounds of a range and would pass the range check.
     if not math.isfinite(value):
-        raise ValueError(f"{text!r} is no finite number")
+        raise ValueError(f"{text!r} is not a finite number")
     return value
 
 
@@ -107,7 +107,7 @@
     if not text or not all(
         part.isalnum() for part in text.replace("_", "-").split("-")
     ):
-        raise ValueError(f"{text!r} is no name of letters, digits, '-' and '_'")
+        raise ValueError(f"{text!r} is not a name of letters, digits, '-' and '_'")
     return text
 
 
@@ -115,14 +115,14 @@
     try:
         ipaddress.ip_address(text)
     except ValueError as error:
-        raise ValueError(f"{text!r} is no IP number") from error
+        raise ValueError(f"{text!r} is not an IP address") from error
     return text
 
 
 def _parse_host_and_port(text: str) -> str:
     host, _, port = text.rpartition(":")
     if not port.isdigit() or not 1 <= int(port) <= 65535:
-        raise ValueError(f"{text!r} is no host:port")
+        raise ValueError(f"{text!r} is not a valid host:port")
     _parse_address(host.removeprefix("[").removesuffix("]"))
     return text
 
@@ -140,8 +140,8 @@
 SETTINGS = (
     Setting("name", _parse_name, None, "name of this VM, unique in the fleet"),
     Setting("zone", _parse_name, None, "availability zone of this VM"),
-    Setting("address", _parse_address, "127.0.0.1", "IP number to listen on"),
-    Setting("port", _parse_integer, "8080", "TCP port for callers", 0, 65535),
+    Setting("address", _parse_address, "127.0.0.1", "IP address to listen on"),
+    Setting("port", _parse_integer, "8080", "TCP port for clients", 0, 65535),
     Setting(
         "peer_port", _parse_integer, "8081", "UDP port for other routers", 0, 65535
     ),
@@ -152,9 +152,8 @@
         "peer_keys",
         _parse_peer_keys,
         None,
-        "one key shared by the routers, or two while keys change: "
-        "new,old; best given by the variable, since flags are seen by all users "
-        "of the VM",
+        "key shared by all routers, or two during a rotation: new,old; preferably "
+        "set by the variable, since flags are visible to all users of the VM",
         secret=True,
     ),
     Setting(
@@ -163,13 +162,21 @@
         "",
         "host:port of some routers' peer ports, asked first if the platform is down",
     ),
-    # 1.5 is the least that keeps nearly all cache reuse; see docs/design/routing.md.
-    Setting("load_bound", _parse_number, "1.5", "multiple of the mean load", 1.01, 10),
+    # 1.5 is the lowest value that keeps nearly all cache reuse; see
+    # docs/design/routing.md.
+    Setting(
+        "load_bound",
+        _parse_number,
+        "1.5",
+        "maximum load, as a multiple of the mean load",
+        1.01,
+        10,
+    ),
     Setting(
         "body_max_bytes",
         _parse_integer,
         "1048576",
-        "longest request body",
+        "maximum size of a request body",
         1024,
         1 << 26,
         "bytes",
@@ -178,7 +185,7 @@
         "queue_max",
         _parse_integer,
         "512",
-        "waiting requests for each pool",
+        "maximum number of queued requests per pool",
         1,
         100_000,
         "requests",
@@ -187,7 +194,7 @@
         "drain_max_s",
         _parse_number,
         "300",
-        "longest wait for work in flight at a shutdown",
+        "maximum wait for requests in flight at shutdown",
         0,
         86_400,
         "s",
@@ -196,41 +203,41 @@
         "lease_s",
         _parse_number,
         "10",
-        "lease of the router that orders engines",
+        "duration of the lease of the router that gives orders to engines",
         0.5,
         600,
         "s",
     ),
-    Setting("log_format", _parse_log_format, "text", "text or json"),
+    Setting("log_format", _parse_log_format, "text", "log format, text or json"),
 )
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the daemon's flags."""
+    """Build the parser of the daemon's flags."""
     parser = argparse.ArgumentParser(
         prog="tamarackrilld",
         description="One router of the fleet.",
-        epilog="Each setting is a flag or an environment variable; the flag wins. "
-        "Faulty settings end the process with exit code 2.",
+        epilog="Each setting is a flag or an environment variable; flags take "
+        "precedence. Invalid settings end the process with exit code 2.",
         allow_abbrev=False,
     )
     parser.add_argument(
-        "--check", action="store_true", help="check the settings and end"
+        "--check", action="store_true", help="validate the settings and exit"
     )
     parser.add_argument(
         "--show-settings",
         action="store_true",
-        help="list the settings in force and end",
+        help="list the effective settings and exit",
     )
     for setting in SETTINGS:
-        # Any value is taken here, also a missing one, so that `load_settings` reports
-        # all faults together; argparse would stop at the first.
+        # Accepts any value, even a missing one, so that `load_settings` can report all
+        # errors together; argparse would stop at the first.
         parser.add_argument(
             setting.flag,
             dest=setting.name,
             nargs="?",
             const="",
-            metavar=_describe_range(setting) or "VALUE",
+            metavar=_format_range(setting) or "VALUE",
             help=f"{setting.doc} ({setting.variable}, "
             f"default {setting.default or 'none, required'})",
         )
@@ -238,12 +245,12 @@
 
 
 def load_settings(arguments: Sequence[str], environment: Mapping[str, str]) -> Settings:
-    """Return the checked settings.
+    """Parse and validate the settings.
 
     Parameters
     ----------
     arguments : sequence of str
-        Command line without the program's name.
+        Command line without the program name.
     environment : mapping of str to str
         Environment variables.
 
@@ -254,31 +261,31 @@
     Raises
     ------
     FindingsError
-        If any setting is absent, malformed, out of range or unknown; lists all.
+        If any setting is missing, malformed, out of range or unknown; lists all.
     SystemExit
         With code 0 after ``--help``, ``--check`` or ``--show-settings``.
     """
     parsed, unknown = build_parser().parse_known_args(list(arguments))
-    given = vars(parsed)
+    flag_values = vars(parsed)
     values: dict[str, Any] = {}
     findings = [*_find_unknown_flags(unknown), *_find_unknown_variables(environment)]
     for setting in SETTINGS:
-        place, text = _find_text(setting, given, environment)
-        value, fault = _check(setting, place, text)
+        place, text = _find_source(setting, flag_values, environment)
+        value, errors = _parse_setting(setting, place, text)
         values[setting.name] = value
-        findings.extend(fault)
+        findings.extend(errors)
     if findings:
         raise FindingsError(findings)
     settings = Settings(**values)
-    if given["show_settings"]:
+    if flag_values["show_settings"]:
         print(show_settings(settings))
-    if given["check"] or given["show_settings"]:
+    if flag_values["check"] or flag_values["show_settings"]:
         raise SystemExit(0)
     return settings
 
 
 def show_settings(settings: Settings) -> str:
-    """Return one line for each setting; secrets are only counted."""
+    """Format one line per setting; of secrets only the number of values."""
     lines = []
     for setting in SETTINGS:
         value = getattr(settings, setting.name)
@@ -288,10 +295,10 @@
     return "\n".join(lines)
 
 
-def _describe_range(setting: Setting) -> str:
-    if setting.least is None or setting.most is None:
+def _format_range(setting: Setting) -> str:
+    if setting.minimum is None or setting.maximum is None:
         return setting.unit
-    return f"{setting.least:g}..{setting.most:g} {setting.unit}".strip()
+    return f"{setting.minimum:g}..{setting.maximum:g} {setting.unit}".strip()
 
 
 def _find_unknown_flags(unknown: Sequence[str]) -> Iterator[Finding]:
@@ -300,43 +307,47 @@
         flag = text.partition("=")[0]
         if not flag.startswith("-"):
             continue
-        yield Finding(flag, "unknown flag", _hint_nearest(flag, flags))
+        yield Finding(flag, "unknown flag", _suggest_name(flag, flags))
 
 
 def _find_unknown_variables(environment: Mapping[str, str]) -> Iterator[Finding]:
-    # A misspelt variable would leave the default in force without a word.
+    # A misspelt variable would silently leave the default in effect.
     variables = [setting.variable for setting in SETTINGS]
     for name in sorted(environment):
         if name.startswith(ENVIRONMENT_PREFIX) and name not in variables:
-            yield Finding(name, "unknown variable", _hint_nearest(name, variables))
+            yield Finding(name, "unknown variable", _suggest_name(name, variables))
 
 
-def _hint_nearest(name: str, known: Sequence[str]) -> str:
-    nearest = difflib.get_close_matches(name, known, n=1)
-    return f"did you mean {nearest[0]}?" if nearest else ""
+def _suggest_name(name: str, known: Sequence[str]) -> str:
+    matches = difflib.get_close_matches(name, known, n=1)
+    return f"did you mean {matches[0]}?" if matches else ""
 
 
-def _find_text(
-    setting: Setting, given: Mapping[str, str | None], environment: Mapping[str, str]
+def _find_source(
+    setting: Setting,
+    flag_values: Mapping[str, str | None],
+    environment: Mapping[str, str],
 ) -> tuple[str, str | None]:
-    if given[setting.name] is not None:
-        return setting.flag, given[setting.name]
+    if flag_values[setting.name] is not None:
+        return setting.flag, flag_values[setting.name]
     if setting.variable in environment:
         return setting.variable, environment[setting.variable]
     return setting.flag, setting.default
 
 
-def _check(setting: Setting, place: str, text: str | None) -> tuple[Any, list[Finding]]:
+def _parse_setting(
+    setting: Setting, place: str, text: str | None
+) -> tuple[Any, list[Finding]]:
     if text is None:
-        hint = f"give {setting.flag} or set {setting.variable}"
+        hint = f"pass {setting.flag} or set {setting.variable}"
         return None, [Finding(place, f"is required: {setting.doc}", hint)]
     try:
         value = setting.parse(text)
     except ValueError as error:
         return None, [Finding(place, str(error), setting.doc)]
     unit = f" {setting.unit}" if setting.unit else ""
-    if setting.least is not None and value < setting.least:
-        return None, [Finding(place, f"{value} is below {setting.least:g}{unit}")]
-    if setting.most is not None and value > setting.most:
-        return None, [Finding(place, f"{value} is above {setting.most:g}{unit}")]
+    if setting.minimum is not None and value < setting.minimum:
+        return None, [Finding(place, f"{value} is below {setting.minimum:g}{unit}")]
+    if setting.maximum is not None and value > setting.maximum:
+        return None, [Finding(place, f"{value} is above {setting.maximum:g}{unit}")]
     return value, []
--- a/src/tamarackrill/text_files.py
+++ b/src/tamarackrill/text_files.py
@@ -1,22 +1,22 @@
-"""Files of text, and what is told of those that can't be read."""
+"""Read text files, with findings for those that can't be read."""
 
 from tamarackrill.exceptions import Finding, FindingsError
 
 
 def read_text(path: str, errors: str = "strict") -> str:
-    """Return the text of a file in UTF-8.
+    """Return the text of a UTF-8 file.
 
     Parameters
     ----------
     path : str
-        Where it is.
+        Path of the file.
     errors : str, optional
-        What is done with bytes that are no text; see `open`.
+        How to handle bytes that are not valid UTF-8; see `open`.
 
     Raises
     ------
     FindingsError
-        If the file can't be read or holds no text; names the file.
+        If the file can't be read or decoded; names the file.
     """
     try:
         with open(path, encoding="utf-8", errors=errors) as file:
@@ -24,5 +24,5 @@
     except OSError as error:
         raise FindingsError([Finding(path, error.strerror or str(error))]) from error
     except UnicodeDecodeError as error:
-        message = f"is no UTF-8 text: byte {error.start} can't be read"
+        message = f"is not valid UTF-8: byte {error.start} can't be decoded"
         raise FindingsError([Finding(path, message)]) from error
--- a/tests/test_daemon_settings.py
+++ b/tests/test_daemon_settings.py
@@ -1,4 +1,4 @@
-"""Settings that can't be used, as whoever starts a daemon sees them."""
+"""Error messages of the daemons for unusable settings."""
 
 import json
 import socket
@@ -12,7 +12,7 @@
 
 
 def make_file(folder, changes):
-    """Return the path of a settings file and its fields."""
+    """Write a settings file with the given changes and return its path."""
     ports = [find_free_port() for _ in range(3)]
     fields = {
         "node_name": "edge-1",
@@ -35,7 +35,7 @@
 
 
 def run(arguments, environment, monkeypatch):
-    """Return the exit code and the lines of a daemon that is to end by itself."""
+    """Return the exit code and output lines of a daemon that exits by itself."""
     for name, value in environment.items():
         monkeypatch.setenv(name, value)
     daemon = Process(arguments)
@@ -80,7 +80,7 @@
 UNREADABLE = [
     (write_nothing, "local.json: No such file or directory"),
     (lambda path: path.mkdir(), "local.json: Is a directory"),
-    (write_bytes, "local.json: is no UTF-8 text: byte 15"),
+    (write_bytes, "local.json: is not valid UTF-8: byte 15 can't be decoded"),
     (lambda path: path.write_text('{"a": 1,\n "b" 2}'), "local.json:2: is no JSON: "),
     (lambda path: path.write_text("a: 1\nb: [\n"), "local.json:3: is no YAML: "),
     (lambda path: path.write_text("7"), "local.json: holds no fields"),
@@ -88,8 +88,8 @@
 
 
 @pytest.mark.parametrize(("write", "part"), UNREADABLE)
-def test_file_that_cannot_be_read_is_a_finding(write, part, tmp_path, monkeypatch):
-    # Guards against a traceback where an operator looks for the fault of a file.
+def test_unreadable_settings_file_is_reported(write, part, tmp_path, monkeypatch):
+    # Guards against a traceback instead of a message that tells what is wrong.
     path = tmp_path / "local.json"
     write(path)
     check_findings(run_on_platform(path, monkeypatch), part)
@@ -107,13 +107,16 @@
 
 
 @pytest.mark.parametrize(("field", "value", "part"), UNUSABLE)
-def test_address_that_is_none_is_a_finding(field, value, part, tmp_path, monkeypatch):
+def test_unusable_address_is_reported(field, value, part, tmp_path, monkeypatch):
     path = make_file(tmp_path, {field: value})
     check_findings(run_on_platform(path, monkeypatch), f"{path}: {part}")
 
 
-def test_all_addresses_in_use_are_told_before_a_caller_is_let_in(tmp_path, monkeypatch):
-    # Guards against a router that takes callers in and cuts them off, at each restart.
+def test_all_addresses_in_use_are_reported_before_accepting_clients(
+    tmp_path, monkeypatch
+):
+    # Guards against a router in a restart loop that accepts clients before it finds
+    # that another address is in use, and then disconnects them.
     with (
         socket.create_server(("127.0.0.1", 0)) as readiness,
         socket.create_server(("127.0.0.1", 0)) as metrics,
@@ -137,7 +140,7 @@
 
 
 @pytest.mark.parametrize("port", ["x", "0", "99999"])
-def test_metrics_port_that_is_none_is_a_finding(port, tmp_path, monkeypatch):
+def test_invalid_metrics_port_is_reported(port, tmp_path, monkeypatch):
     path = make_file(tmp_path, {})
     part = f"TAMARACKRILL_METRICS_PORT: '{port}' is no port"
     check_findings(run_on_platform(path, monkeypatch, port), part)
@@ -147,15 +150,18 @@
     ("flag", "part"),
     [
         ("--port=99999", "--port: 99999 is above 65535"),
-        ("--platform=127.0.0.1:99999", "--platform: '127.0.0.1:99999' is no host:port"),
+        (
+            "--platform=127.0.0.1:99999",
+            "--platform: '127.0.0.1:99999' is not a valid host:port",
+        ),
         (f"--address={ANOTHER_VM}", f"--address, --port: can't listen: {ANOTHER_VM}:"),
     ],
 )
-def test_unusable_setting_of_the_native_daemon_is_a_finding(flag, part, monkeypatch):
+def test_unusable_setting_of_the_native_daemon_is_reported(flag, part, monkeypatch):
     check_findings(run_native([flag], monkeypatch), part)
 
 
-def test_peer_port_in_use_is_a_finding(monkeypatch):
+def test_peer_port_in_use_is_reported(monkeypatch):
     with socket.socket(type=socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
         port = taken.getsockname()[1]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,20 +14,20 @@
 }
 
 
-def find_faults(arguments, environment):
+def find_errors(arguments, environment):
     with pytest.raises(FindingsError) as caught:
         load_settings(arguments, environment)
     return [finding.show() for finding in caught.value.findings]
 
 
-def test_flag_goes_before_variable():
+def test_flag_takes_precedence_over_variable():
     settings = load_settings(["--zone", "kamnik-hall"], ENVIRONMENT)
     assert (settings.zone, settings.name) == ("kamnik-hall", "vm-1")
     assert settings.peer_keys == ("new-secret", "old-secret")
 
 
-def test_all_faults_are_reported_together():
-    found = find_faults(["--port", "x", "--prot=1"], {"TAMARACKRILL_ZONES": "a"})
+def test_all_errors_are_reported_together():
+    found = find_errors(["--port", "x", "--prot=1"], {"TAMARACKRILL_ZONES": "a"})
     assert [line.split(":")[0] for line in found] == [
         "--prot",
         "TAMARACKRILL_ZONES",
@@ -45,24 +45,24 @@
     [
         ("--port", "70000", "70000 is above 65535"),
         ("--load-bound", "1", "1.0 is below 1.01"),
-        ("--load-bound", "nan", "no finite number"),
+        ("--load-bound", "nan", "is not a finite number"),
         ("--body-max-bytes", "5", "5 is below 1024 bytes"),
-        ("--address", "router.example", "no IP number"),
-        ("--platform", "127.0.0.1", "no host:port"),
-        ("--name", "a b", "no name"),
+        ("--address", "router.example", "is not an IP address"),
+        ("--platform", "127.0.0.1", "is not a valid host:port"),
+        ("--name", "a b", "is not a name"),
         ("--log-format", "xml", "neither text nor json"),
-        ("--peer-keys", "a,b,c", "holds 3 keys, not one or two"),
-        ("--queue-max", "", "no whole number"),
+        ("--peer-keys", "a,b,c", "expected one or two keys, got 3"),
+        ("--queue-max", "", "is not an integer"),
     ],
 )
-def test_fault_names_its_flag(flag, text, part):
-    (line,) = find_faults([flag, text], ENVIRONMENT)
+def test_error_names_its_flag(flag, text, part):
+    (line,) = find_errors([flag, text], ENVIRONMENT)
     assert line.startswith(flag)
     assert part in line
 
 
 @pytest.mark.parametrize(("flag", "lines"), [("--check", 0), ("--show-settings", 1)])
-def test_check_and_show_end_the_process(flag, lines, capsys):
+def test_check_and_show_settings_exit(flag, lines, capsys):
     with pytest.raises(SystemExit) as caught:
         load_settings([flag], ENVIRONMENT)
     shown = capsys.readouterr().out
@@ -78,7 +78,7 @@
     assert all(setting.variable in shown for setting in SETTINGS)
 
 
-def test_port_in_use_is_a_finding():
+def test_port_in_use_is_reported():
     with socket.create_server(("127.0.0.1", 0)) as taken:
         flags = [f"--port={taken.getsockname()[1]}", "--name=a", "--zone=z"]
         flags += ["--platform=127.0.0.1:1", "--peer-keys=k"]
