--- a/src/tamarackrill/event_log.py
+++ b/src/tamarackrill/event_log.py
@@ -1,4 +1,4 @@
-"""How an event becomes a line of the log; the events themselves stand in `events`."""
+"""Write events to the log; `events` declares the events themselves."""
 
 import json
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class Event(NamedTuple):
-    """One kind of log line."""
+    """Declaration of one kind of log event."""
 
     number: int
     name: str
@@ -19,25 +19,25 @@
 
 
 def format_key_value(event: Event, fields: dict[str, object]) -> str:
-    """Return the line ``E<number> <name> key=value ...``."""
-    pairs = " ".join(f"{key}={_quote(value)}" for key, value in fields.items())
+    """Format an event as ``E<number> <name> key=value ...``."""
+    pairs = " ".join(f"{key}={_format_value(value)}" for key, value in fields.items())
     return f"E{event.number} {event.name} {pairs}".rstrip()
 
 
 def format_json(event: Event, fields: dict[str, object]) -> str:
-    """Return the event as one line of JSON."""
+    """Format an event as one line of JSON."""
     line = {"event": event.number, "name": event.name, **fields}
     return json.dumps(line, default=str)
 
 
-def _quote(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, float):
         return f"{value:.6g}"
     if isinstance(value, list | tuple):
         return ",".join(str(item) for item in value) or "-"
     text = str(value)
-    # A line break in a value that a caller chose would let the caller write log
-    # lines of its own; such a line would look like ours, so it is escaped.
+    # An unescaped line break in a client-supplied value would let the client forge
+    # log lines.
     return json.dumps(text) if any(c in text for c in ' "\n\r\t=') else text or "-"
 
 
@@ -46,7 +46,7 @@
 
 
 def use_formatter(formatter: Formatter) -> None:
-    """Make `formatter` the one that `log_event` uses in this process."""
+    """Set the formatter of `log_event` for this process."""
     _formatter[0] = formatter
 
 
@@ -58,12 +58,12 @@
     event : Event
         One of `tamarackrill.events`.
     **fields : object
-        Exactly the fields that the event declares.
+        All fields that the event declares, and no others.
 
     Raises
     ------
     ValueError
-        If the fields are not the declared ones.
+        If the fields differ from the declared ones.
     """
     if set(fields) != set(event.fields):
         raise ValueError(f"{event.name} takes {event.fields}, not {tuple(fields)}")
@@ -76,7 +76,7 @@
 
 
 class _LazyLine:
-    """An event's line, formatted only by a handler that wants text."""
+    """Log message of an event, formatted only if a handler needs the text."""
 
     def __init__(self, event: Event, fields: dict[str, object]) -> None:
         self._event = event
--- a/src/tamarackrill/logs.py
+++ b/src/tamarackrill/logs.py
@@ -1,12 +1,11 @@
-"""Where the log of a process goes, in which form, and how much of it.
-
-A router writes a line for each decision about a request.  In a flood that is thousands
-of lines a second, and whoever reads them may be slow or stuck.  Were the router to
-write them as they come, its loop would stand still with the reader, and every client
-would wait for the log.  So lines go to a bounded buffer, and from there to standard
-output only as far as it takes them at once.  What the buffer can't hold is left out and
-counted: lines of requests that were served first, those of refused and failed ones
-last.
+"""Set up logging: output, format, buffering and rate limits.
+
+A router logs a line for each decision about a request: thousands of lines per second
+under overload, while the reader of the log may be slow or blocked.  Blocking writes
+would stall the event loop and with it every client.  Lines therefore go to a bounded
+buffer, and from there to standard output only as far as it accepts them without
+blocking.  When the buffer is full, lines are dropped and counted: routine ones (served
+requests) first, warnings and errors (refused and failed requests) last.
 """
 
 import json
@@ -20,26 +19,26 @@
 
 from tamarackrill import event_log, events
 
-# Lines that wait for the reader: a second of a loaded router, 1,000 lines of 200 bytes.
+# Holds the lines that a loaded router logs per second: 1,000 lines of 200 bytes.
 BUFFER_MAX_BYTES = 256 * 1024
-# Lines of one event in a second.  On-call engineers need the first of a flood and how
-# many there were; a router of 100 requests a second stays below.
+# Lines per event and second.  Of a burst, on-call engineers need the first lines and
+# the count.  A router at 100 requests per second stays below this limit.
 EVENT_LINES_PER_S = 300
-# What a pipe that is ready takes without blocking, by POSIX.
+# POSIX: a pipe that polls as writable accepts this much without blocking.
 WRITE_MAX_BYTES = 4096
-# Writes that one flush may do, so that a large buffer doesn't hold the loop up.
+# Limit of writes per flush, so that a large buffer doesn't block the event loop.
 WRITES_MAX = 32
 
 
 class LineBuffer:
-    """Lines that wait to be written, bounded by bytes and by lines of one event.
+    """Buffer of log lines, limited in bytes and in lines per event and second.
 
     Parameters
     ----------
     max_bytes : int, optional
-        Of all lines together.
+        Maximum size of all lines together.
     event_lines_per_s : int, optional
-        Of one event.
+        Maximum number of lines per event and second.
     """
 
     def __init__(
@@ -57,15 +56,15 @@
         self._counts: Counter[str] = Counter()
 
     def offer(self, event: str, line: bytes, is_urgent: bool, now_s: float) -> None:
-        """Take a line, or leave one out and count it."""
+        """Add a line if its event is within the rate limit, else count a drop."""
         if self.admit(event, now_s):
             self.add(event, line, is_urgent)
 
     def admit(self, event: str, now_s: float) -> bool:
-        """Return whether an event may have a line; one that may not is counted.
+        """Return whether an event is within its rate limit; count it as dropped if not.
 
-        To be asked before the line is made: in a flood most lines are left out, and
-        making one is half of its cost.
+        Call this before formatting the line: in a burst most lines are dropped, and
+        formatting is half the cost of a line.
         """
         if int(now_s) != self._second:
             self._second = int(now_s)
@@ -77,7 +76,7 @@
         return True
 
     def add(self, event: str, line: bytes, is_urgent: bool) -> None:
-        """Take a line that was admitted; older ones make room for it."""
+        """Add an admitted line, dropping older ones if the buffer is full."""
         queue = self._urgent if is_urgent else self._routine
         queue.append((event, line))
         self.size_bytes += len(line)
@@ -90,7 +89,7 @@
         self.dropped[event] += 1
 
     def take(self, max_bytes: int) -> bytes:
-        """Return the next whole lines, at most so many bytes unless one is longer."""
+        """Remove and return whole lines, up to `max_bytes` but at least one line."""
         taken: list[bytes] = []
         size_bytes = 0
         for queue in (self._urgent, self._routine):
@@ -102,29 +101,29 @@
         return b"".join(taken)
 
     def take_drop_counts(self) -> dict[str, int]:
-        """Return how many lines were left out by event, and begin anew."""
-        found = dict(self.dropped)
+        """Return the number of dropped lines by event, and reset the counters."""
+        counts = dict(self.dropped)
         self.dropped.clear()
-        return found
+        return counts
 
 
 class BoundedHandler(Handler):
-    """Writes log records as lines of JSON to a descriptor, without ever blocking.
+    """Write log records as lines of JSON to a file descriptor without blocking.
 
     Parameters
     ----------
     fd : int
-        Descriptor of standard output.
+        File descriptor to write to.
     """
 
     def __init__(self, fd: int) -> None:
         super().__init__()
         self.buffer = LineBuffer()
         self._fd = fd
-        self._rest = b""
+        self._unwritten = b""
 
     def emit(self, record: LogRecord) -> None:
-        """Take a record."""
+        """Buffer a record."""
         event = getattr(record, "event", None)
         name = event.name if isinstance(event, events.Event) else "text"
         if not self.buffer.admit(name, record.created):
@@ -139,32 +138,32 @@
         self.buffer.add(name, line, record.levelno >= WARNING)
 
     def flush(self) -> None:
-        """Write what the descriptor takes at once."""
+        """Write as much as the file descriptor accepts without blocking."""
         for _ in range(WRITES_MAX):
-            self._rest = self._rest or self.buffer.take(WRITE_MAX_BYTES)
-            if not self._rest or not self._is_ready():
+            self._unwritten = self._unwritten or self.buffer.take(WRITE_MAX_BYTES)
+            if not self._unwritten or not self._is_ready():
                 return
-            piece = self._rest[:WRITE_MAX_BYTES]
+            piece = self._unwritten[:WRITE_MAX_BYTES]
             written = os.write(self._fd, piece)
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
 
     def _is_ready(self) -> bool:
         return bool(select.select([], [self._fd], [], 0)[1])
 
     def report_dropped(self) -> None:
-        """Log how many lines were left out since the last time."""
+        """Log how many lines were dropped since the last report."""
         dropped = self.buffer.take_drop_counts()
         if dropped:
             events.log_event(events.LINES_LEFT_OUT, lines=dropped)
 
 
 def set_up_bounded_logs() -> BoundedHandler:
-    """Send events of every level to standard output; the caller has to flush."""
+    """Log all levels to standard output; the caller must flush the handler."""
     flags.FLAGS.mark_as_parsed()
     handler = BoundedHandler(sys.stdout.fileno())
     logger = logging.get_absl_logger()
-    for known in list(logger.handlers):
-        logger.removeHandler(known)
+    for existing in list(logger.handlers):
+        logger.removeHandler(existing)
     logger.addHandler(handler)
     logger.propagate = False
     logging.set_verbosity(logging.INFO)
@@ -172,9 +171,9 @@
 
 
 def set_up_logs(log_format: str) -> None:
-    """Send events of every level to standard error in the given form."""
-    # Our flags are argparse's; absl would warn at the first line that its own have
-    # not been parsed.
+    """Log all levels to standard error in the given format."""
+    # Flags are parsed by argparse; absl would warn at the first log line that its own
+    # flags have not been parsed.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -22,9 +22,9 @@
     finally:
         logger.removeHandler(handler)
         logging.set_verbosity(before)
-        # Setting the verbosity back sets a level that the logger didn't have.  Lines of
-        # information would be lost to later tests of this process, and one that looks
-        # for a key in the log would find none whatever the log held.
+        # `set_verbosity` also changes the logger's level.  Without this, later tests in
+        # this process would lose INFO lines, and one that checks that the log holds no
+        # key would pass whatever was logged.
         logger.setLevel(level)
 
 
@@ -41,7 +41,7 @@
     )
 
 
-def test_flood_of_one_event_is_bounded_and_counted():
+def test_lines_over_the_rate_limit_are_dropped_and_counted():
     buffer = LineBuffer(event_lines_per_s=10)
     for _ in range(100):
         buffer.offer("a", b"line\n", False, 5.2)
@@ -51,9 +51,9 @@
     assert buffer.take_drop_counts() == {}
 
 
-def test_lines_of_served_requests_are_left_out_before_those_of_refused_ones():
-    # A router refuses some requests in a flood that it mostly serves.  A client that
-    # complains was refused; its line must be the one that is still there.
+def test_routine_lines_are_dropped_before_urgent_ones():
+    # Under overload, a router serves most requests and refuses some.  Support needs
+    # the lines of the refused ones; lines of served requests must not displace them.
     buffer = LineBuffer(max_bytes=100, event_lines_per_s=1000)
     buffer.offer("refused", b"refused..\n", True, 0.0)
     for _ in range(50):
@@ -62,7 +62,7 @@
     assert buffer.take_drop_counts() == {"served": 41}
 
 
-def test_whole_lines_are_taken():
+def test_take_returns_whole_lines():
     buffer = LineBuffer()
     for number in range(10):
         buffer.offer("a", b"%d.......\n" % number, False, 0.0)
@@ -70,9 +70,9 @@
     assert buffer.take(3) == b"2.......\n"
 
 
-def test_stuck_reader_of_the_log_costs_lines_and_never_the_router():
-    # Whoever reads the log has stopped.  Were the router to wait for room in the pipe,
-    # all its clients would wait as well.
+def test_blocked_log_reader_does_not_block_the_router():
+    # The reader of the log has stopped.  If the router waited for space in the pipe,
+    # all its clients would wait too.
     reading, writing = os.pipe()
     with logging_to(writing) as handler:
         for number in range(2000):
