--- a/src/tamarackrill/__init__.py
+++ b/src/tamarackrill/__init__.py
@@ -1,12 +1,13 @@
-"""Tamarackrill: a router fleet for very many returning chats.
+"""Tamarackrill: a fleet of routers for large numbers of long-lived chats.
 
-The names of this module are the public ones; nothing else is promised to stay, but
-for the stand-ins of `tamarackrill.testing`.
+The names in ``__all__`` and the stand-ins in `tamarackrill.testing` are the public
+API; everything else may change.
 """
 
 import importlib
 
-# The module `typing` takes longer to load than a daemon has before its first signal.
+# `typing` is not imported: loading it takes too long before a starting daemon can
+# handle its first signal.
 TYPE_CHECKING = False
 if TYPE_CHECKING:
     from typing import Any
@@ -39,8 +40,8 @@
     "read_contract",
 ]
 
-# Loaded when they are asked for: a router that starts needs few of them, and until it
-# has started its callers wait.
+# Loaded on first access: a starting router needs few of these modules, and its clients
+# wait until it has started.
 _MODULES = {
     "contracts": ("CallPattern", "Contract", "hash_key", "read_contract"),
     "exceptions": (
--- a/src/tamarackrill/__main__.py
+++ b/src/tamarackrill/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m tamarackrill`` is the operators' command line."""
+"""Run the operators' command line with ``python -m tamarackrill``."""
 
 import sys
 
--- a/src/tamarackrill/exceptions.py
+++ b/src/tamarackrill/exceptions.py
@@ -1,8 +1,8 @@
-"""Errors with codes.
+"""Exceptions with error codes and exit codes.
 
-Every error that a user can cause carries a code, a one-line message, a hint and
-an exit code, and knows how to show itself.  A refusal is the error that a caller
-of the fleet sees: it also says whether the request may have run.
+Every error that a user can cause has a code, a one-line message, an optional hint, an
+exit code and a `show` method that formats it.  `Refusal` is the error response to a
+client; it also says whether the request may have run.
 """
 
 from typing import Literal, NamedTuple, TypedDict
@@ -13,7 +13,7 @@
 EXIT_UNAVAILABLE = 4
 EXIT_NOT_IN_FORCE = 5
 
-# What the command line promises to scripts; shown by ``tamarackrill --help``.
+# Stable interface for scripts; shown by ``tamarackrill --help``.
 EXIT_CODES = {
     0: "done",
     EXIT_FAILURE: "failed for another reason, such as an object that does not exist",
@@ -27,7 +27,7 @@
 
 
 class RefusalBody(TypedDict):
-    """The JSON that a refused caller receives."""
+    """JSON body of an error response to a client."""
 
     code: str
     message: str
@@ -36,27 +36,27 @@
 
 
 class Finding(NamedTuple):
-    """One fault of an input, with the place where it stands."""
+    """One error in an input, with its location in `place`."""
 
     place: str
     message: str
     hint: str = ""
 
     def show(self) -> str:
-        """Return the finding as one line."""
+        """Format the finding as one line."""
         hint = f" ({self.hint})" if self.hint else ""
         return f"{self.place}: {self.message}{hint}"
 
 
 class TamarackrillError(Exception):
-    """Base of all errors of this package.
+    """Base class of all exceptions of this package.
 
     Parameters
     ----------
     message : str
-        One line for the user.
+        One-line message for the user.
     hint : str, optional
-        What the user can do about it.
+        How the user can resolve the error.
     """
 
     code = "error"
@@ -68,13 +68,13 @@
         self.hint = hint
 
     def show(self) -> str:
-        """Return the error as one line for a terminal."""
+        """Format the error for a terminal, with the hint on a second line."""
         hint = f"\nHint: {self.hint}" if self.hint else ""
         return f"Error [{self.code}]: {self.message}{hint}"
 
 
 class FindingsError(TamarackrillError):
-    """All faults found in one input, reported together.
+    """All errors found in the input, reported together.
 
     Parameters
     ----------
@@ -90,7 +90,7 @@
         self.findings = tuple(findings)
 
     def show(self) -> str:
-        """Return one line for each finding."""
+        """Format each finding as one line."""
         return "\n".join(f"Error: {finding.show()}" for finding in self.findings)
 
 
@@ -102,48 +102,47 @@
 
 
 class VersionConflict(TamarackrillError):
-    """A conditional update met another version than the one it was based on."""
+    """The object of a conditional update has changed from the expected version."""
 
     code = "version_conflict"
     exit_code = EXIT_CONFLICT
 
 
 class NotFound(TamarackrillError):
-    """The object or router that was asked for does not exist."""
+    """The requested object or router does not exist."""
 
     code = "not_found"
 
 
 class RouterUnavailable(TamarackrillError):
-    """A router did not answer, or not in a form that is understood."""
+    """A router did not answer, or its response could not be parsed."""
 
     code = "router_unavailable"
     exit_code = EXIT_UNAVAILABLE
 
 
 class NotInForce(TamarackrillError):
-    """A change was written, but some routers have not been seen to apply it."""
+    """A change was written, but not all routers are known to have applied it."""
 
     code = "not_in_force"
     exit_code = EXIT_NOT_IN_FORCE
 
 
 class Refusal(TamarackrillError):
-    """A request that the fleet answers with an error of its own.
+    """Error response that the fleet generates itself, not an endpoint.
 
     Parameters
     ----------
     code : str
         One of the codes listed in docs/OPERATIONS.md.
     status : int
-        HTTP status of the answer.
+        HTTP status of the response.
     message : str
-        One line for the caller.  Names no other team.
+        One-line message for the client; must not name other teams.
     run : {"not_run", "unknown"}, default="not_run"
-        ``"not_run"`` only where no byte of the request can have reached an
-        endpoint.
+        ``"not_run"`` only if no byte of the request can have reached an endpoint.
     retry_after_s : float, default=1.0
-        When the caller should come back, in seconds.
+        Seconds after which the client should retry.
     """
 
     def __init__(
@@ -161,7 +160,7 @@
         self.retry_after_s = retry_after_s
 
     def to_body(self) -> RefusalBody:
-        """Return the JSON body of the refusal."""
+        """Return the JSON body of the error response."""
         return RefusalBody(
             code=self.code,
             message=self.message,
--- a/src/tamarackrill/store_form.py
+++ b/src/tamarackrill/store_form.py
@@ -1,6 +1,6 @@
-"""Objects of a store, and how one store spells the calls for them.
+"""Types of stored objects and of the HTTP API of a store.
 
-Both the client of stores and the adapters to them build on these types.
+The store client and the adapters for each store build on these types.
 """
 
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class PlatformObject(NamedTuple):
-    """One version of an object; a value of None is a deletion."""
+    """One version of an object; a value of None marks a deletion."""
 
     kind: str
     name: str
@@ -17,7 +17,7 @@
 
 
 class Listing(NamedTuple):
-    """Objects of a kind, the revision up to which they are known, and their size."""
+    """Objects of a kind, the revision they are current to, and their size."""
 
     items: tuple[PlatformObject, ...]
     revision: int
@@ -25,7 +25,7 @@
 
 
 class ObjectPage(NamedTuple):
-    """One page of a list; `after` is where the next one begins, empty at the end."""
+    """One page of a list; `after` is the next page's start, empty on the last page."""
 
     items: tuple[PlatformObject, ...]
     revision: int
@@ -33,21 +33,21 @@
 
 
 class StoreForm(NamedTuple):
-    """How one store spells its calls and answers.
+    """Paths and response parsers of one store's HTTP API.
 
     Parameters
     ----------
     base : str
-        What all paths begin with.
+        Prefix of all paths.
     list_path : callable
-        ``list_path(kind, after)`` for the page that follows the name `after`.
+        ``list_path(kind, after)``, for the page after the name `after`.
     watch_path : callable
         ``watch_path(kind, since, wait_s)``.
     object_path : callable
         ``object_path(kind, name)``.
     read_page, read_events, read_object : callable
-        ``read(kind, body)`` returns what an answer holds; KeyError, TypeError and
-        ValueError tell that it is not of this form.
+        ``read(kind, body)`` parses a response body; raises KeyError, TypeError or
+        ValueError if it is not in the expected format.
     """
 
     base: str
