--- a/src/tamarackrill/commands/contracts.py
+++ b/src/tamarackrill/commands/contracts.py
@@ -9,7 +9,7 @@
 from tamarackrill.documents import Document
 from tamarackrill.exceptions import Finding, FindingsError, NotFound, VersionConflict
 from tamarackrill.router.platform_client import PlatformClient
-from tamarackrill.store_form import PlatformObject
+from tamarackrill.store_api import PlatformObject
 
 Outcome = Literal["created", "changed", "unchanged", "deleted"]
 
--- a/src/tamarackrill/commands/writes.py
+++ b/src/tamarackrill/commands/writes.py
@@ -14,7 +14,7 @@
 
 from tamarackrill.exceptions import PlatformUnavailable
 from tamarackrill.router.platform_client import PlatformClient, WriteResult
-from tamarackrill.store_form import PlatformObject
+from tamarackrill.store_api import PlatformObject
 
 TRIES_MAX = 4
 # Pauses between tries; together with the timeouts of the calls they span an outage of
--- a/src/tamarackrill/platform/store.py
+++ b/src/tamarackrill/platform/store.py
@@ -5,7 +5,7 @@
 from urllib.parse import quote, urlencode
 
 from tamarackrill.events import OBJECT_FAULTY, log_event
-from tamarackrill.store_form import Listing, ObjectPage, PlatformObject, StoreForm
+from tamarackrill.store_api import Listing, ObjectPage, PlatformObject, StoreApi
 
 
 def _object_path(kind: str, name: str) -> str:
@@ -71,7 +71,7 @@
     return Listing(events, body["store_revision"])
 
 
-STORE_FORM = StoreForm(
+STORE_FORM = StoreApi(
     base="",
     list_path=_list_path,
     watch_path=_watch_path,
--- a/src/tamarackrill/queries/contracts.py
+++ b/src/tamarackrill/queries/contracts.py
@@ -3,7 +3,7 @@
 from tamarackrill.contracts import CONTRACT_KIND
 from tamarackrill.exceptions import NotFound
 from tamarackrill.router.platform_client import PlatformClient
-from tamarackrill.store_form import PlatformObject
+from tamarackrill.store_api import PlatformObject
 
 
 async def get_contract(platform: PlatformClient, team: str) -> PlatformObject:
--- a/src/tamarackrill/router/claiming.py
+++ b/src/tamarackrill/router/claiming.py
@@ -45,7 +45,7 @@
 from tamarackrill.router.calls import Call
 from tamarackrill.router.platform_client import PlatformClient
 from tamarackrill.router.replies import Reply
-from tamarackrill.store_form import PlatformObject
+from tamarackrill.store_api import PlatformObject
 
 # A clock that was set back must not put off the timer by as much.
 TIMER_MAX_S = 1.0
--- a/src/tamarackrill/router/configuring.py
+++ b/src/tamarackrill/router/configuring.py
@@ -29,7 +29,7 @@
 from tamarackrill.router.background import log_failure
 from tamarackrill.router.peer_api import PeerUnavailable
 from tamarackrill.router.platform_client import AnswerTooLong, PlatformClient, WatchLost
-from tamarackrill.store_form import Listing
+from tamarackrill.store_api import Listing
 
 KINDS = (CONTRACT_KIND, ENDPOINT_KIND)
 # 370 routers that ask again every 5 s for two kinds are 148 reads a second, of about
--- a/src/tamarackrill/router/platform_client.py
+++ b/src/tamarackrill/router/platform_client.py
@@ -1,7 +1,7 @@
 """Client of an object store: lists, watches and conditional writes.
 
 One client serves each store that routers read; what differs between them (paths and
-fields) is passed as a `StoreForm`.
+fields) is passed as a `StoreApi`.
 """
 
 import json
@@ -20,11 +20,11 @@
 from tamarackrill.contracts import Vm
 from tamarackrill.exceptions import PlatformUnavailable
 from tamarackrill.router.store_fetch import Progress, fetch, make_preparation
-from tamarackrill.store_form import (
+from tamarackrill.store_api import (
     Listing,
     ObjectPage,
     PlatformObject,
-    StoreForm,
+    StoreApi,
 )
 
 _T = TypeVar("_T")
@@ -129,7 +129,7 @@
         Availability zone of this VM, sent with each call.
     client : tornado.httpclient.AsyncHTTPClient
         Not owned; the application object closes it.
-    form : StoreForm, optional
+    form : StoreApi, optional
         How the store spells its calls; that of our stand-in by default.
     timing : StoreTiming, optional
         Timeouts.
@@ -145,7 +145,7 @@
         address: str,
         zone: str,
         client: AsyncHTTPClient,
-        form: StoreForm | None = None,
+        form: StoreApi | None = None,
         timing: StoreTiming | None = None,
     ) -> None:
         self._form = form or STAND_IN_FORM
@@ -404,7 +404,7 @@
     return tuple(PlatformObject(**item) for item in body[field])
 
 
-STAND_IN_FORM = StoreForm(
+STAND_IN_FORM = StoreApi(
     base="/v1",
     list_path=lambda kind, after: f"/objects/{kind}",
     watch_path=lambda kind, since, wait_s: (
--- a/src/tamarackrill/store_form.py
+++ b/src/tamarackrill/store_api.py
@@ -32,7 +32,7 @@
     after: str = ""
 
 
-class StoreForm(NamedTuple):
+class StoreApi(NamedTuple):
     """Paths and response parsers of one store's HTTP API.
 
     Parameters
--- a/tests/test_configuring.py
+++ b/tests/test_configuring.py
@@ -15,7 +15,7 @@
 from tamarackrill.decisions.membership import PeerStateReceived
 from tamarackrill.exceptions import PlatformUnavailable
 from tamarackrill.router.configuring import Configurer
-from tamarackrill.store_form import Listing, PlatformObject
+from tamarackrill.store_api import Listing, PlatformObject
 
 KIND = "config"
 PATIENCE_S = 10.0
