--- a/src/tamarackrill/router/claiming.py
+++ b/src/tamarackrill/router/claiming.py
@@ -45,7 +45,7 @@
 from tamarackrill.router.calls import Call
 from tamarackrill.router.platform_client import PlatformClient
 from tamarackrill.router.replies import Reply
-from tamarackrill.store_form import PlatformObject
+from tamarackrill.store_api import PlatformObject
 
 # Limits how late the timer fires if the wall clock is set back.
 TIMER_MAX_S = 1.0
