--- a/bench/faults.py
+++ b/bench/faults.py
@@ -16,8 +16,8 @@
 
 from tamarackrill.contracts import CONTRACT_FORMAT, hash_key
 from tamarackrill.load.calls import Target
-from tamarackrill.load.judgement import Judgement
 from tamarackrill.load.plan import LoadShape, make_plan
+from tamarackrill.load.results import LoadResults
 from tamarackrill.load.runner import count_runs, run_plan
 from tamarackrill.testing.processes import FleetProcesses, RouterProcess
 
@@ -67,7 +67,7 @@
 }
 
 
-def measure_fault(name: str) -> Judgement:
+def measure_fault(name: str) -> LoadResults:
     """Run the load while one of three routers meets a fault."""
     with FleetProcesses() as fleet:
         for number in range(3):
@@ -89,7 +89,7 @@
     services: tuple[str, ...],
     fault: Callable[[RouterProcess], Any],
     router: RouterProcess,
-) -> Judgement:
+) -> LoadResults:
     client = CurlAsyncHTTPClient(force_instance=True, max_clients=CONCURRENCY)
     target = Target(
         routers=addresses,
@@ -105,11 +105,11 @@
     )
     sessions = make_plan(SEED, TEAMS, LoadShape(CALLS, DURATION_S))
     task = asyncio.create_task(fault(router))
-    judgement = await run_plan(client, target, sessions, TIME_MAX_S)
+    results = await run_plan(client, target, sessions, TIME_MAX_S)
     await task
-    judgement.take_runs(await count_runs(client, services, target.run))
+    results.take_runs(await count_runs(client, services, target.run))
     client.close()
-    return judgement
+    return results
 
 
 def _make_contract(team: str) -> dict[str, Any]:
--- a/src/tamarackrill/load/arguments.py
+++ b/src/tamarackrill/load/arguments.py
@@ -12,9 +12,9 @@
 from tamarackrill.documents import read_document
 from tamarackrill.exceptions import Finding, FindingsError, TamarackrillError
 from tamarackrill.load.calls import Target
-from tamarackrill.load.judgement import Judgement
 from tamarackrill.load.plan import LoadShape, make_plan
 from tamarackrill.load.plot import write_plot
+from tamarackrill.load.results import LoadResults
 from tamarackrill.load.runner import count_runs, run_plan
 
 CALLS_MAX = 1_000_000
@@ -80,9 +80,9 @@
     if findings:
         raise FindingsError(findings)
     keys = read_document(options.keys).value
-    judgement = asyncio.run(_run(options, keys))
-    _report(options, judgement)
-    if not judgement.is_clean:
+    results = asyncio.run(_run(options, keys))
+    _report(options, results)
+    if not results.is_clean:
         raise AnswersFaulty("answers were lost, doubled or crossed; see the counts")
 
 
@@ -113,7 +113,7 @@
     return [Finding(flag, message) for flag, holds, message in rules if not holds]
 
 
-async def _run(options: argparse.Namespace, keys: dict[str, str]) -> Judgement:
+async def _run(options: argparse.Namespace, keys: dict[str, str]) -> LoadResults:
     AsyncHTTPClient.configure("tornado.curl_httpclient.CurlAsyncHTTPClient")
     client = AsyncHTTPClient(max_clients=options.concurrency)
     lookup_service, _, lookup_path = options.lookup.partition("/")
@@ -140,17 +140,17 @@
     sessions = make_plan(options.seed, tuple(keys), shape)
     time_max_s = options.time_max_s or options.seconds + 60
     try:
-        judgement = await run_plan(client, target, sessions, time_max_s)
+        results = await run_plan(client, target, sessions, time_max_s)
         if options.count_runs:
             services = tuple(options.count_runs)
-            judgement.take_runs(await count_runs(client, services, target.run))
+            results.take_runs(await count_runs(client, services, target.run))
     finally:
         client.close()
-    return judgement
+    return results
 
 
-def _report(options: argparse.Namespace, judgement: Judgement) -> None:
-    figures = judgement.to_dict()
+def _report(options: argparse.Namespace, results: LoadResults) -> None:
+    figures = results.to_dict()
     if options.json == "-":
         print(format_json(figures))
     else:
@@ -159,7 +159,7 @@
         if options.json and options.json != "-":
             Path(options.json).write_text(format_json(figures) + "\n", "utf-8")
         if options.plot:
-            write_plot(judgement, options.plot)
+            write_plot(results, options.plot)
     except (OSError, ValueError) as error:
         print(f"Error: could not write the result: {error}", file=sys.stderr)
 
--- a/src/tamarackrill/load/calls.py
+++ b/src/tamarackrill/load/calls.py
@@ -9,8 +9,8 @@
 import pycurl
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
-from tamarackrill.load.judgement import Outcome, Received
 from tamarackrill.load.plan import PlannedCall, Session
+from tamarackrill.load.results import Outcome, Received
 
 TRIES_MAX = 3
 RETRY_PAUSE_S = 0.2
--- a/src/tamarackrill/load/plot.py
+++ b/src/tamarackrill/load/plot.py
@@ -1,17 +1,17 @@
 """Plot of a run's quantiles; needs the optional package matplotlib."""
 
 from tamarackrill.exceptions import Finding, FindingsError
-from tamarackrill.load.judgement import Judgement
+from tamarackrill.load.results import LoadResults
 
 PLOT_QUANTILES = (0.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 
 
-def write_plot(judgement: Judgement, path: str) -> None:
+def write_plot(results: LoadResults, path: str) -> None:
     """Write the time to the whole answer by quantile, one line for each kind.
 
     Parameters
     ----------
-    judgement : Judgement
+    results : Judgement
         Figures of the run.
     path : str
         File whose ending, ``.svg`` or ``.png``, decides the form.
@@ -29,7 +29,7 @@
         raise FindingsError([finding]) from error
     figure = Figure(figsize=(8, 5))
     axes = figure.subplots()
-    for (measure, label), histogram in sorted(judgement.histograms.items()):
+    for (measure, label), histogram in sorted(results.histograms.items()):
         if measure != "answer" or label.startswith("team "):
             continue
         values_ms = [
--- a/src/tamarackrill/load/judgement.py
+++ b/src/tamarackrill/load/results.py
@@ -64,7 +64,7 @@
     return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
-class Judgement:
+class LoadResults:
     """Counts and quantiles over a run."""
 
     def __init__(self) -> None:
--- a/src/tamarackrill/load/runner.py
+++ b/src/tamarackrill/load/runner.py
@@ -7,8 +7,8 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 
 from tamarackrill.load.calls import Target, send_call
-from tamarackrill.load.judgement import Judgement, Received
 from tamarackrill.load.plan import Session
+from tamarackrill.load.results import LoadResults, Received
 
 STATE_TIMEOUT_S = 5.0
 
@@ -18,7 +18,7 @@
     target: Target,
     sessions: list[Session],
     time_max_s: float,
-) -> Judgement:
+) -> LoadResults:
     """Send all calls of a plan and judge what came back.
 
     Parameters
@@ -36,28 +36,28 @@
     -------
     Judgement
     """
-    judgement = Judgement()
+    results = LoadResults()
     start_s = time.monotonic()
     tasks = [
         asyncio.create_task(
-            _run_session(client, target, session, number, start_s, judgement)
+            _run_session(client, target, session, number, start_s, results)
         )
         for number, session in enumerate(sessions)
     ]
     _, unfinished = await asyncio.wait(tasks, timeout=time_max_s)
     for task in unfinished:
         task.cancel()
-    results = await asyncio.gather(*tasks, return_exceptions=True)
-    for result in results:
-        if isinstance(result, Exception):
-            raise result
+    task_results = await asyncio.gather(*tasks, return_exceptions=True)
+    for task_result in task_results:
+        if isinstance(task_result, Exception):
+            raise task_result
     planned = sum(len(session.calls) for session in sessions)
-    missing = planned - judgement.counts["calls"]
+    missing = planned - results.counts["calls"]
     if missing:
-        judgement.counts["calls"] += missing
-        judgement.counts["lost"] += missing
-        judgement.losses["run ended"] += missing
-    return judgement
+        results.counts["calls"] += missing
+        results.counts["lost"] += missing
+        results.losses["run ended"] += missing
+    return results
 
 
 async def count_runs(
@@ -94,7 +94,7 @@
     session: Session,
     number: int,
     start_s: float,
-    judgement: Judgement,
+    results: LoadResults,
 ) -> None:
     due_s = start_s + session.start_s
     for turn, call in enumerate(session.calls):
@@ -103,12 +103,12 @@
         # The routers are taken in turn, as a balancer without affinity does.
         router = number + turn
         first = await send_call(client, target, session, turn, router, due_s)
-        judgement.take(first)
+        results.take(first)
         if call.resend:
-            await _resend(client, target, session, turn, router + 1, first, judgement)
+            await _resend(client, target, session, turn, router + 1, first, results)
         if first.outcome != "answered":
             # The rest of the chat would only meet refusals of its order.
-            _drop_rest(session, turn + 1, judgement)
+            _drop_rest(session, turn + 1, results)
             return
         due_s = time.monotonic()
 
@@ -120,14 +120,14 @@
     turn: int,
     router: int,
     first: Received,
-    judgement: Judgement,
+    results: LoadResults,
 ) -> None:
     now_s = time.monotonic()
     second = await send_call(client, target, session, turn, router, now_s)
-    judgement.take_resend(first, second)
+    results.take_resend(first, second)
 
 
-def _drop_rest(session: Session, count: int, judgement: Judgement) -> None:
+def _drop_rest(session: Session, count: int, results: LoadResults) -> None:
     dropped = len(session.calls) - count
-    judgement.counts["calls"] += dropped
-    judgement.counts["not_sent"] += dropped
+    results.counts["calls"] += dropped
+    results.counts["not_sent"] += dropped
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -4,8 +4,8 @@
 
 from tamarackrill.cli import main
 from tamarackrill.contracts import hash_key
-from tamarackrill.load.judgement import Judgement, Received
 from tamarackrill.load.plan import LoadShape, make_plan
+from tamarackrill.load.results import LoadResults, Received
 from tamarackrill.testing.processes import FleetProcesses
 
 SHAPE = LoadShape(calls=300, duration_s=2.0)
@@ -49,17 +49,17 @@
     ],
 )
 def test_answer_is_judged(changes, count, is_clean):
-    judgement = Judgement()
-    judgement.take(receive(**changes))
-    assert judgement.to_dict()["counts"][count] == 1
-    assert judgement.is_clean == is_clean
+    results = LoadResults()
+    results.take(receive(**changes))
+    assert results.to_dict()["counts"][count] == 1
+    assert results.is_clean == is_clean
 
 
 def test_second_run_of_a_key_and_second_answer_are_faults():
-    judgement = Judgement()
-    judgement.take_runs({"k1": 1, "k2": 2})
-    judgement.take_resend(receive(text="1"), receive(text="2"))
-    counts = judgement.to_dict()["counts"]
+    results = LoadResults()
+    results.take_runs({"k1": 1, "k2": 2})
+    results.take_resend(receive(text="1"), receive(text="2"))
+    counts = results.to_dict()["counts"]
     assert (counts["doubled"], counts["resend_differs"]) == (1, 1)
 
 
