--- a/bench/faults.py
+++ b/bench/faults.py
@@ -107,7 +107,7 @@
     task = asyncio.create_task(fault(router))
     results = await run_plan(client, target, sessions, TIME_MAX_S)
     await task
-    results.take_runs(await count_runs(client, services, target.run))
+    results.add_run_counts(await count_runs(client, services, target.run))
     client.close()
     return results
 
--- a/src/tamarackrill/cli.py
+++ b/src/tamarackrill/cli.py
@@ -32,7 +32,7 @@
 from tamarackrill.queries.explain import EXPLAINED, ask_home, format_explanation
 from tamarackrill.queries.explain_log import find_lines, format_lines
 from tamarackrill.queries.fleet import list_endpoints, list_routers, pick_router
-from tamarackrill.queries.losses import find_endings, format_losses, summarize
+from tamarackrill.queries.losses import find_outcomes, format_losses, summarize
 from tamarackrill.router.platform_client import PlatformClient
 from tamarackrill.text_files import read_text
 
@@ -202,8 +202,8 @@
 
 
 def _show_losses(options: argparse.Namespace) -> None:
-    endings = find_endings(_read_lines(options.files))
-    print(format_losses(summarize(endings, options.window_s)))
+    outcomes = find_outcomes(_read_lines(options.files))
+    print(format_losses(summarize(outcomes, options.window_s)))
 
 
 def _read_window_s(text: str) -> float:
@@ -332,13 +332,13 @@
     applied = await apply_contracts(
         clients.platform, documents, options.based_on, _report
     )
-    await _wait(options, clients, max(item.version for item in applied))
+    await _wait_for_rollout(options, clients, max(item.version for item in applied))
 
 
 async def _delete(options: argparse.Namespace, clients: _Clients) -> None:
     applied = await delete_contract(clients.platform, options.team)
     _report(applied)
-    await _wait(options, clients, applied.version)
+    await _wait_for_rollout(options, clients, applied.version)
 
 
 def _report(applied: Applied) -> None:
@@ -347,7 +347,9 @@
         print(f"  {change.show()}")
 
 
-async def _wait(options: argparse.Namespace, clients: _Clients, version: int) -> None:
+async def _wait_for_rollout(
+    options: argparse.Namespace, clients: _Clients, version: int
+) -> None:
     if options.no_wait:
         print("Written; not waiting for the routers.")
         return
--- a/src/tamarackrill/load/arguments.py
+++ b/src/tamarackrill/load/arguments.py
@@ -143,7 +143,7 @@
         results = await run_plan(client, target, sessions, time_max_s)
         if options.count_runs:
             services = tuple(options.count_runs)
-            results.take_runs(await count_runs(client, services, target.run))
+            results.add_run_counts(await count_runs(client, services, target.run))
     finally:
         client.close()
     return results
--- a/src/tamarackrill/load/calls.py
+++ b/src/tamarackrill/load/calls.py
@@ -10,7 +10,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError, HTTPRequest
 
 from tamarackrill.load.plan import PlannedCall, Session
-from tamarackrill.load.results import Outcome, Received
+from tamarackrill.load.results import CallResult, Outcome
 
 TRIES_MAX = 3
 RETRY_PAUSE_S = 0.2
@@ -85,7 +85,7 @@
     turn: int,
     first_router: int,
     due_s: float,
-) -> Received:
+) -> CallResult:
     """Send one call until its final answer, as a patient caller does.
 
     A caller whose answer is cut or whose router is gone sends the call again, with
@@ -121,7 +121,7 @@
             break
         await asyncio.sleep(RETRY_PAUSE_S)
     first = found.first_byte_s
-    return Received(
+    return CallResult(
         team=session.team,
         kind=call.kind,
         marker=call.marker,
--- a/src/tamarackrill/load/results.py
+++ b/src/tamarackrill/load/results.py
@@ -18,7 +18,7 @@
 Outcome = Literal["answered", "refused", "lost"]
 
 
-class Received(NamedTuple):
+class CallResult(NamedTuple):
     """What the caller of one call got in the end.
 
     Parameters
@@ -75,27 +75,27 @@
             _make_histogram
         )
 
-    def take(self, received: Received) -> None:
+    def add(self, result: CallResult) -> None:
         """Count one call that is over."""
         self.counts["calls"] += 1
-        self.counts[received.outcome] += 1
-        self.counts["sent_again"] += received.tries - 1
-        if received.outcome == "refused":
-            self.refusals[received.code] += 1
+        self.counts[result.outcome] += 1
+        self.counts["sent_again"] += result.tries - 1
+        if result.outcome == "refused":
+            self.refusals[result.code] += 1
             return
-        if received.outcome == "lost":
-            self.losses[received.code] += 1
+        if result.outcome == "lost":
+            self.losses[result.code] += 1
             return
-        self._judge_answer(received)
+        self._judge_answer(result)
 
-    def take_resend(self, first: Received, second: Received) -> None:
+    def add_resend(self, first: CallResult, second: CallResult) -> None:
         """Compare the answers to a call and to its resend with the same key."""
         self.counts["resends"] += 1
         both = first.outcome == second.outcome == "answered"
         if both and first.text != second.text:
             self.counts["resend_differs"] += 1
 
-    def take_runs(self, runs: dict[str, int]) -> None:
+    def add_run_counts(self, runs: dict[str, int]) -> None:
         """Count the calls that a service says it ran more than once, by key."""
         self.counts["runs_checked"] += len(runs)
         self.counts["doubled"] += sum(1 for count in runs.values() if count > 1)
@@ -120,19 +120,19 @@
             },
         }
 
-    def _judge_answer(self, received: Received) -> None:
-        if received.took_s > received.deadline_s:
+    def _judge_answer(self, result: CallResult) -> None:
+        if result.took_s > result.deadline_s:
             self.counts["late"] += 1
         # A marker of another call in the answer means that this caller reads what
         # belongs to someone else; back ends that echo nothing can't be judged so.
-        if set(_MARKER.findall(received.text)) - {received.marker}:
+        if set(_MARKER.findall(result.text)) - {result.marker}:
             self.counts["crossed"] += 1
-        for label in (received.kind, f"team {received.team}"):
-            self._record("answer", label, received.took_s)
-            if received.first_byte_s is not None:
-                self._record("first_byte", label, received.first_byte_s)
-        for gap_s in received.gaps_s:
-            self._record("token_gap", received.kind, gap_s)
+        for label in (result.kind, f"team {result.team}"):
+            self._record("answer", label, result.took_s)
+            if result.first_byte_s is not None:
+                self._record("first_byte", label, result.first_byte_s)
+        for gap_s in result.gaps_s:
+            self._record("token_gap", result.kind, gap_s)
 
     def _record(self, measure: str, label: str, duration_s: float) -> None:
         value_us = min(HIGHEST_US, max(LOWEST_US, round(duration_s * 1e6)))
--- a/src/tamarackrill/load/runner.py
+++ b/src/tamarackrill/load/runner.py
@@ -8,7 +8,7 @@
 
 from tamarackrill.load.calls import Target, send_call
 from tamarackrill.load.plan import Session
-from tamarackrill.load.results import LoadResults, Received
+from tamarackrill.load.results import CallResult, LoadResults
 
 STATE_TIMEOUT_S = 5.0
 
@@ -103,7 +103,7 @@
         # The routers are taken in turn, as a balancer without affinity does.
         router = number + turn
         first = await send_call(client, target, session, turn, router, due_s)
-        results.take(first)
+        results.add(first)
         if call.resend:
             await _resend(client, target, session, turn, router + 1, first, results)
         if first.outcome != "answered":
@@ -119,12 +119,12 @@
     session: Session,
     turn: int,
     router: int,
-    first: Received,
+    first: CallResult,
     results: LoadResults,
 ) -> None:
     now_s = time.monotonic()
     second = await send_call(client, target, session, turn, router, now_s)
-    results.take_resend(first, second)
+    results.add_resend(first, second)
 
 
 def _drop_rest(session: Session, count: int, results: LoadResults) -> None:
--- a/src/tamarackrill/queries/losses.py
+++ b/src/tamarackrill/queries/losses.py
@@ -29,7 +29,7 @@
 LATE_SHARE = 0.95
 
 
-class Ending(NamedTuple):
+class RequestOutcome(NamedTuple):
     """How one request ended.
 
     Parameters
@@ -90,7 +90,7 @@
     by_moment: tuple[MomentLosses, ...]
 
 
-def find_endings(lines: Iterable[str]) -> list[Ending]:
+def find_outcomes(lines: Iterable[str]) -> list[RequestOutcome]:
     """Return how requests ended, in order of time.
 
     Parameters
@@ -101,24 +101,26 @@
     parsed = [line for text in lines if (line := parse_line(text)) is not None]
     parsed.sort(key=lambda line: line[TIME_FIELD])
     sent: dict[str, Mapping[str, Any]] = {}
-    ended: dict[str, Ending] = {}
+    ended: dict[str, RequestOutcome] = {}
     for line in parsed:
         request = line.get("request")
         if not request:
             continue
         if line.get("event") == CALL_SENT.number:
             sent[request] = line
-        ending = _read_ending(line, sent.get(request, {}))
-        if ending is not None:
-            ended[request] = ending
-    return sorted(ended.values(), key=lambda ending: ending.time_s)
+        outcome = _read_ending(line, sent.get(request, {}))
+        if outcome is not None:
+            ended[request] = outcome
+    return sorted(ended.values(), key=lambda outcome: outcome.time_s)
 
 
-def _read_ending(line: Mapping[str, Any], sent: Mapping[str, Any]) -> Ending | None:
+def _read_ending(
+    line: Mapping[str, Any], sent: Mapping[str, Any]
+) -> RequestOutcome | None:
     cause = _find_cause(line)
     if cause is None:
         return None
-    return Ending(
+    return RequestOutcome(
         line[TIME_FIELD],
         line.get("route") or sent.get("route", ""),
         cause,
@@ -143,53 +145,53 @@
     return "client left" if event == CALL_LEFT.number else None
 
 
-def summarize(endings: Sequence[Ending], window_s: float) -> Losses:
+def summarize(outcomes: Sequence[RequestOutcome], window_s: float) -> Losses:
     """Return what was lost by route, by cause and in each span of `window_s`."""
-    began_s = endings[0].time_s if endings else 0.0
-    routes: dict[str, list[Ending]] = defaultdict(list)
-    moments: dict[int, list[Ending]] = defaultdict(list)
-    for ending in endings:
-        routes[ending.route].append(ending)
-        moments[int((ending.time_s - began_s) / window_s)].append(ending)
+    began_s = outcomes[0].time_s if outcomes else 0.0
+    routes: dict[str, list[RequestOutcome]] = defaultdict(list)
+    moments: dict[int, list[RequestOutcome]] = defaultdict(list)
+    for outcome in outcomes:
+        routes[outcome.route].append(outcome)
+        moments[int((outcome.time_s - began_s) / window_s)].append(outcome)
     by_route = [_sum_route(route, found) for route, found in routes.items()]
     by_moment = [
         _sum_moment(number * window_s, found) for number, found in moments.items()
     ]
     return Losses(
         tuple(sorted(by_route, key=lambda line: (-line.lost, line.route))),
-        _sum_causes(endings),
+        _sum_causes(outcomes),
         tuple(by_moment),
     )
 
 
-def _count_lost(endings: Iterable[Ending]) -> Counter[str]:
-    return Counter(ending.cause for ending in endings if ending.cause)
+def _count_lost(outcomes: Iterable[RequestOutcome]) -> Counter[str]:
+    return Counter(outcome.cause for outcome in outcomes if outcome.cause)
 
 
 def _name_main(causes: Counter[str]) -> str:
     return causes.most_common(1)[0][0] if causes else ""
 
 
-def _sum_route(route: str, endings: Sequence[Ending]) -> RouteLosses:
-    causes = _count_lost(endings)
-    first_s = sorted(e.first_s for e in endings if e.first_s is not None)
+def _sum_route(route: str, outcomes: Sequence[RequestOutcome]) -> RouteLosses:
+    causes = _count_lost(outcomes)
+    first_s = sorted(e.first_s for e in outcomes if e.first_s is not None)
     late_s = first_s[int(LATE_SHARE * (len(first_s) - 1))] if first_s else None
-    lost, count = causes.total(), len(endings)
+    lost, count = causes.total(), len(outcomes)
     share = round(lost / count, 4)
     return RouteLosses(route, count, lost, share, _name_main(causes), late_s)
 
 
-def _sum_moment(from_s: float, endings: Sequence[Ending]) -> MomentLosses:
-    causes = _count_lost(endings)
-    lost, count = causes.total(), len(endings)
+def _sum_moment(from_s: float, outcomes: Sequence[RequestOutcome]) -> MomentLosses:
+    causes = _count_lost(outcomes)
+    lost, count = causes.total(), len(outcomes)
     share = round(lost / count, 4)
     return MomentLosses(from_s, count, lost, share, _name_main(causes))
 
 
-def _sum_causes(endings: Sequence[Ending]) -> tuple[CauseLosses, ...]:
+def _sum_causes(outcomes: Sequence[RequestOutcome]) -> tuple[CauseLosses, ...]:
     found = []
-    for cause, count in _count_lost(endings).most_common():
-        names = Counter(e.endpoint for e in endings if e.cause == cause and e.endpoint)
+    for cause, count in _count_lost(outcomes).most_common():
+        names = Counter(e.endpoint for e in outcomes if e.cause == cause and e.endpoint)
         worst = tuple(name for name, _ in names.most_common(ENDPOINTS_SHOWN))
         found.append(CauseLosses(cause, count, worst))
     return tuple(found)
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -154,7 +154,7 @@
 
     options = build_parser().parse_args(["contract", "delete", "t"])
     with pytest.raises(NotInForce, match="written, but the VM list"):
-        asyncio.run(cli._wait(options, cli._Clients(None, Platform()), 1))
+        asyncio.run(cli._wait_for_rollout(options, cli._Clients(None, Platform()), 1))
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -5,7 +5,7 @@
 from tamarackrill.cli import main
 from tamarackrill.contracts import hash_key
 from tamarackrill.load.plan import LoadShape, make_plan
-from tamarackrill.load.results import LoadResults, Received
+from tamarackrill.load.results import CallResult, LoadResults
 from tamarackrill.testing.processes import FleetProcesses
 
 SHAPE = LoadShape(calls=300, duration_s=2.0)
@@ -34,7 +34,7 @@
         "deadline_s": 1.0,
         "tries": 1,
     }
-    return Received(**{**common, **changes})
+    return CallResult(**{**common, **changes})
 
 
 @pytest.mark.parametrize(
@@ -50,15 +50,15 @@
 )
 def test_answer_is_judged(changes, count, is_clean):
     results = LoadResults()
-    results.take(receive(**changes))
+    results.add(receive(**changes))
     assert results.to_dict()["counts"][count] == 1
     assert results.is_clean == is_clean
 
 
 def test_second_run_of_a_key_and_second_answer_are_faults():
     results = LoadResults()
-    results.take_runs({"k1": 1, "k2": 2})
-    results.take_resend(receive(text="1"), receive(text="2"))
+    results.add_run_counts({"k1": 1, "k2": 2})
+    results.add_resend(receive(text="1"), receive(text="2"))
     counts = results.to_dict()["counts"]
     assert (counts["doubled"], counts["resend_differs"]) == (1, 1)
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -13,7 +13,7 @@
     CALL_REFUSED,
     CALL_SENT,
 )
-from tamarackrill.queries.losses import find_endings, summarize
+from tamarackrill.queries.losses import find_outcomes, summarize
 
 
 def write(time_s, event, **fields):
@@ -50,14 +50,14 @@
 
 
 def test_each_request_ends_in_one_way():
-    endings = find_endings(reversed(LINES))
-    assert [ending.cause for ending in endings] == ["", *CAUSES.values()]
-    assert [ending.route for ending in endings] == ["chat"] * 3 + ["desk"] * 3
-    assert endings[2].endpoint == "w3"
+    outcomes = find_outcomes(reversed(LINES))
+    assert [outcome.cause for outcome in outcomes] == ["", *CAUSES.values()]
+    assert [outcome.route for outcome in outcomes] == ["chat"] * 3 + ["desk"] * 3
+    assert outcomes[2].endpoint == "w3"
 
 
 def test_losses_are_counted_by_route_cause_and_moment():
-    losses = summarize(find_endings(LINES), 5.0)
+    losses = summarize(find_outcomes(LINES), 5.0)
     desk, chat = losses.by_route
     assert (desk.route, desk.requests, desk.lost, desk.lost_share) == ("desk", 3, 3, 1)
     assert (chat.requests, chat.lost, chat.first_p95_s) == (3, 2, 0.4)
@@ -75,7 +75,7 @@
 
 
 def test_log_without_requests_has_no_losses():
-    assert summarize(find_endings(["nothing"]), 5.0) == ((), (), ())
+    assert summarize(find_outcomes(["nothing"]), 5.0) == ((), (), ())
 
 
 def test_command_shows_three_tables(tmp_path, capsys):
