--- a/src/tamarackrill/cli.py
+++ b/src/tamarackrill/cli.py
@@ -14,7 +14,7 @@
 from tornado.httpclient import AsyncHTTPClient
 
 from tamarackrill.commands.contracts import Applied, apply_contracts, delete_contract
-from tamarackrill.commands.in_force import InForce, wait_in_force
+from tamarackrill.commands.rollout import InForce, wait_in_force
 from tamarackrill.contracts import check_contracts
 from tamarackrill.display import format_json, format_table
 from tamarackrill.documents import Document, read_document
