--- a/src/tamarackrill/load/__init__.py
+++ b/src/tamarackrill/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load tool: acts as the callers of several teams and judges what they receive."""
+"""Load tool: simulates clients of several teams and checks the responses."""
--- a/src/tamarackrill/load/arguments.py
+++ b/src/tamarackrill/load/arguments.py
@@ -1,4 +1,4 @@
-"""Arguments of ``tamarackrill bench``, and the run they describe."""
+"""Arguments of ``tamarackrill bench``, and the load run that they configure."""
 
 import argparse
 import asyncio
@@ -22,59 +22,82 @@
 
 
 class AnswersFaulty(TamarackrillError):
-    """Callers received something that must never happen."""
+    """An answer was lost, doubled, crossed or differed on a resend."""
 
     code = "answers_faulty"
 
 
 def add_bench_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments of the load tool."""
+    """Add the arguments of the load tool to a parser."""
     add = parser.add_argument
     add("--router", action="append", required=True, metavar="HOST:PORT", dest="routers")
     add("--keys", required=True, metavar="FILE", help='JSON: {"team": "key"}')
-    add("--model", required=True, help="model that chats name")
-    add("--lookup", required=True, metavar="SERVICE/PATH", help="what lookups GET")
+    add("--model", required=True, help="model that chats request")
+    add("--lookup", required=True, metavar="SERVICE/PATH", help="target of GET lookups")
     add(
         "--confirmation",
         required=True,
         metavar="SERVICE/PATH",
-        help="what confirmations POST; non-idempotent by contract",
+        help="target of POST confirmations; non-idempotent by contract",
+    )
+    add(
+        "--calls",
+        type=int,
+        default=1000,
+        help="total number of calls (default: %(default)s)",
     )
-    add("--calls", type=int, default=1000, help="calls in all (default %(default)s)")
     add(
         "--seconds",
         type=float,
         default=10.0,
-        help="time over which they begin (default %(default)s)",
+        help="time over which sessions start (default: %(default)s)",
+    )
+    add(
+        "--time-max-s", type=float, help="time limit of the run (default: seconds + 60)"
+    )
+    add(
+        "--concurrency", type=int, default=200, help="maximum number of calls in flight"
     )
-    add("--time-max-s", type=float, help="end of the run; default: seconds + 60")
-    add("--concurrency", type=int, default=200, help="calls in flight at most")
     add("--deadline-s", type=float, default=10.0, help="deadline of each call")
-    add("--chat-share", type=float, default=0.5, help="share of chat turns")
-    add("--lookup-share", type=float, default=0.4, help="share of lookups")
+    add(
+        "--chat-share",
+        type=float,
+        default=0.5,
+        help="share of calls that are chat turns",
+    )
+    add(
+        "--lookup-share",
+        type=float,
+        default=0.4,
+        help="share of calls that are lookups",
+    )
     add("--pause-s", type=float, default=0.5, help="median pause between turns")
-    add("--tokens", type=int, default=16, help="tokens asked for in a turn")
+    add("--tokens", type=int, default=16, help="tokens requested per chat turn")
     add("--seed", type=int, default=1, help="the same seed sends the same calls")
     add(
         "--count-runs",
         action="append",
         default=[],
         metavar="HOST:PORT",
-        help="service stand-in that tells how often it ran each key",
+        help="service stand-in that reports how often it ran each key",
+    )
+    add(
+        "--json",
+        metavar="FILE",
+        help="write the results as JSON to this file; - for stdout",
     )
-    add("--json", metavar="FILE", help="write the figures here; - for the terminal")
-    add("--plot", metavar="FILE", help="write quantiles as .svg or .png")
+    add("--plot", metavar="FILE", help="write a plot of the quantiles, as .svg or .png")
 
 
 def run_bench(options: argparse.Namespace) -> None:
-    """Run the load that the arguments describe and report it.
+    """Run the load that the arguments describe and report the results.
 
     Raises
     ------
     FindingsError
-        If arguments are faulty.
+        If arguments are invalid.
     AnswersFaulty
-        If an answer was lost, doubled or crossed.
+        If an answer was lost, doubled, crossed or differed on a resend.
     """
     findings = list(_check(options))
     if findings:
@@ -83,7 +106,9 @@
     results = asyncio.run(_run(options, keys))
     _report(options, results)
     if not results.is_clean:
-        raise AnswersFaulty("answers were lost, doubled or crossed; see the counts")
+        raise AnswersFaulty(
+            "answers were lost, doubled, crossed or changed on resend; see the counts"
+        )
 
 
 def _check(options: argparse.Namespace) -> list[Finding]:
@@ -98,14 +123,14 @@
         (
             "--seconds",
             0 < options.seconds <= 86_400,
-            "must be above 0, 86400 s at most",
+            "must be above 0 and at most 86400 s",
         ),
         ("--deadline-s", options.deadline_s > 0, "must be above 0"),
         ("--tokens", options.tokens >= 1, "must be 1 or more"),
         (
             "--chat-share",
             min(options.chat_share, options.lookup_share) >= 0 and shares <= 1,
-            "shares must not be negative or exceed 1 together",
+            "shares must not be negative or add up to more than 1",
         ),
         ("--lookup", "/" in options.lookup, "needs the form SERVICE/PATH"),
         ("--confirmation", "/" in options.confirmation, "needs the form SERVICE/PATH"),
@@ -154,25 +179,25 @@
     if options.json == "-":
         print(format_json(figures))
     else:
-        print(_format(figures))
+        print(_format_figures(figures))
     try:
         if options.json and options.json != "-":
             Path(options.json).write_text(format_json(figures) + "\n", "utf-8")
         if options.plot:
             write_plot(results, options.plot)
     except (OSError, ValueError) as error:
-        print(f"Error: could not write the result: {error}", file=sys.stderr)
+        print(f"Error: could not write the results: {error}", file=sys.stderr)
 
 
-def _format(figures: dict) -> str:
-    lines = ["counts: " + _pairs(figures["counts"])]
-    lines.append("refusals: " + (_pairs(figures["refusals"]) or "none"))
-    lines.append("losses: " + (_pairs(figures["losses"]) or "none"))
+def _format_figures(figures: dict) -> str:
+    lines = ["counts: " + _format_pairs(figures["counts"])]
+    lines.append("refusals: " + (_format_pairs(figures["refusals"]) or "none"))
+    lines.append("losses: " + (_format_pairs(figures["losses"]) or "none"))
     for label, times in figures["times_s"].items():
-        shown = _pairs({name: f"{value:.4g}" for name, value in times.items()})
+        shown = _format_pairs({name: f"{value:.4g}" for name, value in times.items()})
         lines.append(f"{label}, s: {shown}")
     return "\n".join(lines)
 
 
-def _pairs(values: dict) -> str:
+def _format_pairs(values: dict) -> str:
     return " ".join(f"{name}={value}" for name, value in values.items())
--- a/src/tamarackrill/load/calls.py
+++ b/src/tamarackrill/load/calls.py
@@ -1,4 +1,4 @@
-"""Sends one call as a caller would, and reads its answer to the end."""
+"""Sends one call as a client would, with retries, and reads its whole response."""
 
 import asyncio
 import json
@@ -12,32 +12,32 @@
 from tamarackrill.load.plan import PlannedCall, Session
 from tamarackrill.load.results import CallResult, Outcome
 
-TRIES_MAX = 3
-RETRY_PAUSE_S = 0.2
-# Time past a call's own deadline after which the caller counts it as lost.
-GRACE_S = 5.0
+ATTEMPTS_MAX = 3
+RETRY_DELAY_S = 0.2
+# Time past a call's deadline after which the client gives up and counts it as lost.
+DEADLINE_GRACE_S = 5.0
 STREAM_END = b"data: [DONE]"
 
 
 class Target(NamedTuple):
-    """Where calls go and what they name.
+    """Routers to call, and what the calls contain.
 
     Parameters
     ----------
     routers : tuple of str
-        ``host:port`` of each router; calls go to them in turn.
+        ``host:port`` of each router; calls go to them in round-robin order.
     keys : dict of str to str
-        Key of each team.
+        API key of each team.
     model, lookup_service, confirmation_service : str
-        What the three kinds of call name.
+        Model or service that each of the three kinds of call requests.
     tokens : int
-        Tokens asked for in each chat turn.
+        Tokens requested in each chat turn.
     lookup_path, confirmation_path : str
         Paths within the services.
     deadline_s : float
-        Deadline that each call names.
+        Deadline sent with each call.
     run : str
-        Identity of this run; makes its chats and keys its own.
+        Identifier of this run; prefixes its chat IDs and idempotency keys.
     """
 
     routers: tuple[str, ...]
@@ -52,7 +52,7 @@
     run: str
 
 
-class _Try(NamedTuple):
+class _Attempt(NamedTuple):
     outcome: Outcome
     code: str
     may_send_again: bool
@@ -61,19 +61,19 @@
     gaps_s: tuple[float, ...] = ()
 
 
-class _Reading:
-    """Chunks of one answer with their times."""
+class _ChunkRecorder:
+    """Records the chunks of one response and their arrival times."""
 
     def __init__(self) -> None:
         self.chunks: list[bytes] = []
         self.times_s: list[float] = []
 
-    def take(self, chunk: bytes) -> None:
+    def record(self, chunk: bytes) -> None:
         self.chunks.append(chunk)
         self.times_s.append(time.monotonic())
 
 
-def key_of(target: Target, call: PlannedCall) -> str:
+def make_idempotency_key(target: Target, call: PlannedCall) -> str:
     """Return the idempotency key of a call."""
     return f"{target.run}-{call.marker}"
 
@@ -86,95 +86,98 @@
     first_router: int,
     due_s: float,
 ) -> CallResult:
-    """Send one call until its final answer, as a patient caller does.
+    """Send one call and retry it until it has a final response.
 
-    A caller whose answer is cut or whose router is gone sends the call again, with
-    the same key, to the next router; the balancer in front of the routers does the
-    same.
+    If the response is cut or the router does not answer, the client sends the call
+    again, with the same key, to the next router, as the load balancer in front of the
+    routers does.
 
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Not owned.
+        HTTP client; the caller closes it.
     target : Target
-        Where calls go.
+        Routers to call, and what the calls contain.
     session : Session
-        What the call belongs to.
+        Session of the call.
     turn : int
-        Which call of the session.
+        Index of the call in the session.
     first_router : int
         Index of the router to try first.
     due_s : float
-        When the call was due, on the monotonic clock.  Waits for a free connection
-        count as the caller's wait too, else a slow fleet would look fast.
+        When the call was due, on the monotonic clock.  Latency is taken from here, so
+        that it includes waiting for a free connection; otherwise a slow fleet would
+        look fast.
 
     Returns
     -------
-    Received
+    CallResult
     """
     call = session.calls[turn]
-    for attempt in range(1, TRIES_MAX + 1):
+    for attempt in range(1, ATTEMPTS_MAX + 1):
         router = target.routers[(first_router + attempt - 1) % len(target.routers)]
-        left_s = due_s + target.deadline_s + GRACE_S - time.monotonic()
-        found = await _try(client, target, session, turn, router, max(0.1, left_s))
-        if not found.may_send_again or attempt == TRIES_MAX:
+        remaining_s = due_s + target.deadline_s + DEADLINE_GRACE_S - time.monotonic()
+        last_attempt = await _attempt(
+            client, target, session, turn, router, max(0.1, remaining_s)
+        )
+        if not last_attempt.may_send_again or attempt == ATTEMPTS_MAX:
             break
-        await asyncio.sleep(RETRY_PAUSE_S)
-    first = found.first_byte_s
+        await asyncio.sleep(RETRY_DELAY_S)
+    first = last_attempt.first_byte_s
     return CallResult(
         team=session.team,
         kind=call.kind,
         marker=call.marker,
-        outcome=found.outcome,
-        code=found.code,
-        text=found.text,
+        outcome=last_attempt.outcome,
+        code=last_attempt.code,
+        text=last_attempt.text,
         took_s=time.monotonic() - due_s,
         first_byte_s=first - due_s if first is not None else None,
         deadline_s=target.deadline_s,
         tries=attempt,
-        gaps_s=found.gaps_s,
+        gaps_s=last_attempt.gaps_s,
     )
 
 
-async def _try(
+async def _attempt(
     client: AsyncHTTPClient,
     target: Target,
     session: Session,
     turn: int,
     router: str,
     timeout_s: float,
-) -> _Try:
+) -> _Attempt:
     call = session.calls[turn]
-    reading = _Reading()
-    request = _make_request(target, session, turn, router, timeout_s, reading.take)
+    recorder = _ChunkRecorder()
+    request = _make_request(target, session, turn, router, timeout_s, recorder.record)
     try:
         response = await client.fetch(request, raise_error=False)
     except (HTTPClientError, OSError) as error:
-        return _Try("lost", type(error).__name__, may_send_again=True)
-    body = b"".join(reading.chunks)
-    # 599 is tornado's own: no answer, or one that was cut.
+        return _Attempt("lost", type(error).__name__, may_send_again=True)
+    body = b"".join(recorder.chunks)
+    # Tornado reports status 599 for a missing or truncated response.
     if response.code == 599:
         reason = "cut" if body else "no answer"
-        return _Try("lost", reason, may_send_again=True)
+        return _Attempt("lost", reason, may_send_again=True)
     if response.code >= 400:
         return _read_refusal(response.code, body)
     if call.stream and STREAM_END not in body:
-        return _Try("lost", "stream not whole", may_send_again=True)
-    times_s = reading.times_s
+        return _Attempt("lost", "stream not whole", may_send_again=True)
+    times_s = recorder.times_s
     gaps_s = tuple(
         later - sooner for sooner, later in zip(times_s, times_s[1:], strict=False)
     )
     first_s = times_s[0] if times_s else None
     text = body.decode("utf-8", "replace")
-    return _Try("answered", "", False, text, first_s, gaps_s if call.stream else ())
+    return _Attempt("answered", "", False, text, first_s, gaps_s if call.stream else ())
 
 
-def _read_refusal(status: int, body: bytes) -> _Try:
+def _read_refusal(status: int, body: bytes) -> _Attempt:
     try:
         code = str(json.loads(body)["code"])
     except (ValueError, KeyError, TypeError):
         code = f"status {status}"
-    return _Try("refused", code, may_send_again=False)
+    return _Attempt("refused", code, may_send_again=False)
 
 
 def _make_request(
@@ -183,7 +186,7 @@
     turn: int,
     router: str,
     timeout_s: float,
-    take: Callable[[bytes], None],
+    record: Callable[[bytes], None],
 ) -> HTTPRequest:
     call = session.calls[turn]
     headers = {
@@ -191,12 +194,16 @@
         "Request-Timeout-Ms": str(round(target.deadline_s * 1000)),
     }
     if call.kind != "lookup":
-        headers["Idempotency-Key"] = key_of(target, call)
+        headers["Idempotency-Key"] = make_idempotency_key(target, call)
     if session.name:
         headers["Chat-Id"] = f"{target.run}-{session.name}"
         headers["Chat-Sequence"] = str(turn + 1)
     if call.kind == "chat":
-        path, method, body = "/v1/chat/completions", "POST", _write_chat(target, call)
+        path, method, body = (
+            "/v1/chat/completions",
+            "POST",
+            _make_chat_body(target, call),
+        )
     elif call.kind == "lookup":
         path = f"/services/{target.lookup_service}{target.lookup_path}"
         path, method, body = f"{path}?marker={call.marker}", "GET", None
@@ -210,14 +217,14 @@
         body=body,
         request_timeout=timeout_s,
         connect_timeout=min(2.0, timeout_s),
-        streaming_callback=take,
-        # libcurl sends a POST a second time by itself when a reused connection was
-        # closed meanwhile; the run would then count tries that it never made.
+        streaming_callback=record,
+        # libcurl itself resends a POST if a reused connection has been closed; the
+        # run would then count attempts that this tool never made.
         prepare_curl_callback=lambda curl: curl.setopt(pycurl.FRESH_CONNECT, 1),
     )
 
 
-def _write_chat(target: Target, call: PlannedCall) -> str:
+def _make_chat_body(target: Target, call: PlannedCall) -> str:
     message = {"role": "user", "content": call.marker}
     return json.dumps(
         {
--- a/src/tamarackrill/load/plan.py
+++ b/src/tamarackrill/load/plan.py
@@ -1,7 +1,7 @@
-"""What the load tool will send, worked out beforehand from a seed.
+"""Load plan: all calls of a run, generated in advance from a seed.
 
-Pure: the same arguments give the same plan, so that two runs, one with a fault and
-one without, differ by the fault alone.
+The plan depends on its arguments alone, so that two runs, one with a fault and one
+without, differ only by the fault.
 """
 
 import random
@@ -10,26 +10,26 @@
 CallKind = Literal["chat", "lookup", "confirmation"]
 
 TURNS_MAX = 6
-# Pauses follow a log-normal: most chats return soon, a few after a long time.
+# Pauses are log-normally distributed: most chats continue soon, a few much later.
 PAUSE_SIGMA = 1.0
 RESEND_SHARE = 0.1
 
 
 class LoadShape(NamedTuple):
-    """How much of what is sent.
+    """Number, duration and mix of calls.
 
     Parameters
     ----------
     calls : int
-        Calls in all, resends apart.
+        Total number of calls, not counting resends.
     duration_s : float
-        Time over which chats and single calls begin.
+        Time over which chats and single calls start.
     chat_share, lookup_share : float
-        Shares of chat turns and lookups; the rest are confirmations.
+        Shares of calls that are chat turns and lookups; the rest are confirmations.
     pause_median_s : float
-        Median pause between an answer and the next turn of a chat.
+        Median pause between a response and the next turn of a chat.
     stream_share : float
-        Share of chats whose answers are streamed.
+        Share of chats with streamed responses.
     """
 
     calls: int
@@ -41,22 +41,21 @@
 
 
 class PlannedCall(NamedTuple):
-    """One call.
+    """One call of the plan.
 
     Parameters
     ----------
     kind : {"chat", "lookup", "confirmation"}
-        What it is.
+        Kind of the call.
     marker : str
-        Unique word sent in the call; an answer that holds the marker of another
-        call belongs to that one.
+        Unique word sent in the call; a response that contains it belongs to this call.
     pause_s : float
-        Wait since the answer before it in its session.
+        Pause after the previous response in the session.
     stream : bool
-        Whether the answer is streamed.
+        Whether the response is streamed.
     resend : bool
-        Whether the caller sends it a second time, with the same key, at once after
-        the first answer, as a client does that lost it.
+        Whether the client sends it again with the same key right after the first
+        response, as a client that lost the response does.
     """
 
     kind: CallKind
@@ -67,18 +66,18 @@
 
 
 class Session(NamedTuple):
-    """Calls of one team that follow each other: a chat, or a single call.
+    """Sequence of calls of one team: a chat, or a single call.
 
     Parameters
     ----------
     team : str
-        The caller's team.
+        Team of the client.
     name : str
         Name of the chat; empty for a single call.
     start_s : float
-        When the first call is sent, from the start of the run.
+        Time of the first call, from the start of the run.
     calls : tuple of PlannedCall
-        In order.
+        Calls in the order in which they are sent.
     """
 
     team: str
@@ -88,30 +87,30 @@
 
 
 def make_plan(seed: int, teams: tuple[str, ...], shape: LoadShape) -> list[Session]:
-    """Return the sessions of a run, by the time they start.
+    """Return the sessions of a run, ordered by start time.
 
     Parameters
     ----------
     seed : int
-        Decides everything else.
+        Seed of the random generator.
     teams : tuple of str
-        Callers; half of all sessions fall to the first quarter of them, as in
-        deployments with a few large teams.
+        Teams to simulate; half of all sessions go to the first quarter of them, as in
+        deployments with a few large teams, the other half to all teams alike.
     shape : LoadShape
-        How much of what is sent.
+        Number, duration and mix of calls.
 
     Returns
     -------
     list of Session
-        Holds exactly ``shape.calls`` calls.
+        Contains exactly ``shape.calls`` calls.
     """
     generator = random.Random(seed)
     sessions: list[Session] = []
-    left = shape.calls
-    while left:
-        session = _make_session(generator, len(sessions), teams, shape, left)
+    remaining = shape.calls
+    while remaining:
+        session = _make_session(generator, len(sessions), teams, shape, remaining)
         sessions.append(session)
-        left -= len(session.calls)
+        remaining -= len(session.calls)
     return sorted(sessions, key=lambda session: session.start_s)
 
 
@@ -120,12 +119,12 @@
     number: int,
     teams: tuple[str, ...],
     shape: LoadShape,
-    left: int,
+    remaining: int,
 ) -> Session:
     start_s = generator.uniform(0.0, shape.duration_s)
     team = _pick_team(generator, teams)
     mean_turns = (1 + TURNS_MAX) / 2
-    # Shares count calls; a chat holds several, so chats are drawn less often.
+    # Shares refer to calls; a chat has several, so chats are drawn less often.
     weights = (
         shape.chat_share / mean_turns,
         shape.lookup_share,
@@ -133,7 +132,7 @@
     )
     kinds: tuple[CallKind, ...] = ("chat", "lookup", "confirmation")
     kind = generator.choices(kinds, weights)[0]
-    count = min(left, generator.randint(1, TURNS_MAX)) if kind == "chat" else 1
+    count = min(remaining, generator.randint(1, TURNS_MAX)) if kind == "chat" else 1
     stream = kind == "chat" and generator.random() < shape.stream_share
     calls = tuple(
         PlannedCall(
--- a/src/tamarackrill/load/plot.py
+++ b/src/tamarackrill/load/plot.py
@@ -1,4 +1,4 @@
-"""Plot of a run's quantiles; needs the optional package matplotlib."""
+"""Plots the latency quantiles of a run; needs the optional package matplotlib."""
 
 from tamarackrill.exceptions import Finding, FindingsError
 from tamarackrill.load.results import LoadResults
@@ -7,14 +7,14 @@
 
 
 def write_plot(results: LoadResults, path: str) -> None:
-    """Write the time to the whole answer by quantile, one line for each kind.
+    """Plot the latency of complete answers by quantile, one line per kind of call.
 
     Parameters
     ----------
-    results : Judgement
-        Figures of the run.
+    results : LoadResults
+        Results of the run.
     path : str
-        File whose ending, ``.svg`` or ``.png``, decides the form.
+        Output file; its extension, ``.svg`` or ``.png``, selects the format.
 
     Raises
     ------
@@ -41,7 +41,7 @@
     axes.set_xticks(range(len(PLOT_QUANTILES)), [f"{q:g}" for q in PLOT_QUANTILES])
     axes.set_yscale("log")
     axes.set_xlabel("quantile, %")
-    axes.set_ylabel("time to the whole answer, ms")
+    axes.set_ylabel("time to complete answer, ms")
     if axes.lines:
         axes.legend()
     figure.savefig(path)
--- a/src/tamarackrill/load/results.py
+++ b/src/tamarackrill/load/results.py
@@ -1,4 +1,4 @@
-"""What callers received, counted and timed."""
+"""Counts and latencies of the responses in a load run."""
 
 import re
 from collections import Counter, defaultdict
@@ -13,38 +13,38 @@
 SIGNIFICANT_DIGITS = 3
 QUANTILES = (50.0, 90.0, 95.0, 99.0, 100.0)
 
-_MARKER = re.compile(r"m\d+x\d+")
+_MARKER_PATTERN = re.compile(r"m\d+x\d+")
 
 Outcome = Literal["answered", "refused", "lost"]
 
 
 class CallResult(NamedTuple):
-    """What the caller of one call got in the end.
+    """Final result of one call.
 
     Parameters
     ----------
     team : str
-        Team of the caller.
+        Team of the client.
     kind : {"chat", "lookup", "confirmation"}
-        What the call was.
+        Kind of the call.
     marker : str
-        Word sent in the call.
+        Unique word sent in the call.
     outcome : {"answered", "refused", "lost"}
-        A whole answer, a refusal as final answer, or neither.
+        A complete answer, a refusal, or neither.
     code : str
-        Code of the refusal, or reason of the loss.
+        Error code of the refusal, or reason for the loss.
     text : str
-        Body of the answer.
+        Body of the response.
     took_s : float
-        From the moment the call was due to the end of the answer.
+        Time from when the call was due to the end of the response.
     first_byte_s : float or None
-        From the same moment to the first byte of the answer.
+        Time from when the call was due to the first byte of the response.
     deadline_s : float
-        Deadline that the call named, from the same moment.
+        Deadline sent with the call, counted from when it was due.
     tries : int
-        How often the caller sent it.
+        Number of times the client sent it.
     gaps_s : tuple of float
-        Times between the events of a stream.
+        Times between the chunks of a stream.
     """
 
     team: str
@@ -65,7 +65,7 @@
 
 
 class LoadResults:
-    """Counts and quantiles over a run."""
+    """Counts and latency histograms of a run."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
@@ -76,7 +76,7 @@
         )
 
     def add(self, result: CallResult) -> None:
-        """Count one call that is over."""
+        """Add the result of one finished call."""
         self.counts["calls"] += 1
         self.counts[result.outcome] += 1
         self.counts["sent_again"] += result.tries - 1
@@ -86,28 +86,28 @@
         if result.outcome == "lost":
             self.losses[result.code] += 1
             return
-        self._judge_answer(result)
+        self._add_answer(result)
 
     def add_resend(self, first: CallResult, second: CallResult) -> None:
-        """Compare the answers to a call and to its resend with the same key."""
+        """Add the results of a call and of its resend with the same key."""
         self.counts["resends"] += 1
         both = first.outcome == second.outcome == "answered"
         if both and first.text != second.text:
             self.counts["resend_differs"] += 1
 
     def add_run_counts(self, runs: dict[str, int]) -> None:
-        """Count the calls that a service says it ran more than once, by key."""
+        """Add how often a service ran each key; more than once counts as doubled."""
         self.counts["runs_checked"] += len(runs)
         self.counts["doubled"] += sum(1 for count in runs.values() if count > 1)
 
     @property
     def is_clean(self) -> bool:
-        """Whether no answer was lost, doubled or crossed."""
+        """Whether no answer was lost, doubled, crossed or differed on a resend."""
         faults = ("lost", "doubled", "crossed", "resend_differs")
         return not any(self.counts[name] for name in faults)
 
     def to_dict(self) -> dict[str, Any]:
-        """Return all figures; times are in seconds."""
+        """Return all counts and quantiles; times are in seconds."""
         names = ("calls", "answered", "refused", "lost", "late", "crossed", "doubled")
         more = ("not_sent", "resends", "resend_differs", "sent_again", "runs_checked")
         return {
@@ -115,17 +115,17 @@
             "refusals": dict(self.refusals),
             "losses": dict(self.losses),
             "times_s": {
-                f"{measure}/{label}": _quantiles(histogram)
+                f"{measure}/{label}": _summarize_histogram(histogram)
                 for (measure, label), histogram in sorted(self.histograms.items())
             },
         }
 
-    def _judge_answer(self, result: CallResult) -> None:
+    def _add_answer(self, result: CallResult) -> None:
         if result.took_s > result.deadline_s:
             self.counts["late"] += 1
-        # A marker of another call in the answer means that this caller reads what
-        # belongs to someone else; back ends that echo nothing can't be judged so.
-        if set(_MARKER.findall(result.text)) - {result.marker}:
+        # Another call's marker in the response means that this client received data of
+        # someone else.  This does not detect back ends that don't echo the marker.
+        if set(_MARKER_PATTERN.findall(result.text)) - {result.marker}:
             self.counts["crossed"] += 1
         for label in (result.kind, f"team {result.team}"):
             self._record("answer", label, result.took_s)
@@ -139,7 +139,7 @@
         self.histograms[measure, label].record_value(value_us)
 
 
-def _quantiles(histogram: HdrHistogram) -> dict[str, float]:
+def _summarize_histogram(histogram: HdrHistogram) -> dict[str, float]:
     found = {
         f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / 1e6
         for quantile in QUANTILES
--- a/src/tamarackrill/load/runner.py
+++ b/src/tamarackrill/load/runner.py
@@ -1,4 +1,4 @@
-"""Runs a plan against routers, bounded in calls and in time."""
+"""Runs a load plan against routers, with limits on concurrency and time."""
 
 import asyncio
 import json
@@ -19,22 +19,22 @@
     sessions: list[Session],
     time_max_s: float,
 ) -> LoadResults:
-    """Send all calls of a plan and judge what came back.
+    """Send all calls of a plan and collect the results.
 
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Bounds the calls in flight; not owned.
+        HTTP client, which limits the calls in flight; the caller closes it.
     target : Target
-        Where calls go.
+        Routers to call, and what the calls contain.
     sessions : list of Session
-        The plan.
+        Sessions of the plan.
     time_max_s : float
-        Calls that are not over by then count as lost, with the reason "run ended".
+        Time limit; calls unfinished by then count as lost, for the reason "run ended".
 
     Returns
     -------
-    Judgement
+    LoadResults
     """
     results = LoadResults()
     start_s = time.monotonic()
@@ -63,16 +63,16 @@
 async def count_runs(
     client: AsyncHTTPClient, services: tuple[str, ...], run: str
 ) -> dict[str, int]:
-    """Return how often the service stand-ins ran each key of a run.
+    """Return how often the service stand-ins ran each idempotency key of a run.
 
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Not owned.
+        HTTP client; the caller closes it.
     services : tuple of str
-        ``host:port`` of each worker; the stand-ins tell what they ran.
+        ``host:port`` of each stand-in; those that do not answer are skipped.
     run : str
-        Identity of the run.
+        Identifier of the run.
     """
     runs: dict[str, int] = {}
     for address in services:
@@ -100,15 +100,15 @@
     for turn, call in enumerate(session.calls):
         due_s += call.pause_s
         await asyncio.sleep(max(0.0, due_s - time.monotonic()))
-        # The routers are taken in turn, as a balancer without affinity does.
+        # Round-robin, as a load balancer without affinity does.
         router = number + turn
         first = await send_call(client, target, session, turn, router, due_s)
         results.add(first)
         if call.resend:
             await _resend(client, target, session, turn, router + 1, first, results)
         if first.outcome != "answered":
-            # The rest of the chat would only meet refusals of its order.
-            _drop_rest(session, turn + 1, results)
+            # The rest of the chat would be refused for a gap in its sequence numbers.
+            _skip_remaining_calls(session, turn + 1, results)
             return
         due_s = time.monotonic()
 
@@ -127,7 +127,7 @@
     results.add_resend(first, second)
 
 
-def _drop_rest(session: Session, count: int, results: LoadResults) -> None:
-    dropped = len(session.calls) - count
-    results.counts["calls"] += dropped
-    results.counts["not_sent"] += dropped
+def _skip_remaining_calls(session: Session, count: int, results: LoadResults) -> None:
+    skipped = len(session.calls) - count
+    results.counts["calls"] += skipped
+    results.counts["not_sent"] += skipped
