--- a/src/tamarackrill/cli.py
+++ b/src/tamarackrill/cli.py
@@ -1,6 +1,6 @@
-"""The operators' command line: arguments, exit codes and what is printed.
+"""Command line for operators: argument parsing, output and exit codes.
 
-What is done stands in `tamarackrill.commands` (changes) and `tamarackrill.queries`.
+`tamarackrill.commands` implements changes, `tamarackrill.queries` read-only commands.
 """
 
 import argparse
@@ -13,8 +13,12 @@
 
 from tornado.httpclient import AsyncHTTPClient
 
-from tamarackrill.commands.contracts import Applied, apply_contracts, delete_contract
-from tamarackrill.commands.rollout import InForce, wait_in_force
+from tamarackrill.commands.contracts import (
+    ContractResult,
+    apply_contracts,
+    delete_contract,
+)
+from tamarackrill.commands.rollout import RolloutStatus, wait_for_rollout
 from tamarackrill.contracts import check_contracts
 from tamarackrill.display import format_json, format_table
 from tamarackrill.documents import Document, read_document
@@ -29,7 +33,11 @@
 from tamarackrill.load.arguments import add_bench_arguments, run_bench
 from tamarackrill.platform.settings_file import parse_settings
 from tamarackrill.queries.contracts import get_contract, list_contracts
-from tamarackrill.queries.explain import EXPLAINED, ask_home, format_explanation
+from tamarackrill.queries.explain import (
+    EXPLAIN_PARAMETERS,
+    fetch_home_explanation,
+    format_explanation,
+)
 from tamarackrill.queries.explain_log import find_lines, format_lines
 from tamarackrill.queries.fleet import list_endpoints, list_routers, pick_router
 from tamarackrill.queries.losses import find_outcomes, format_losses, summarize
@@ -38,7 +46,8 @@
 
 PLATFORM_VARIABLE = "TAMARACKRILL_PLATFORM"
 WAIT_MAX_S = 30.0
-# Faults last seconds, and a span of so long still holds enough requests to compare.
+# Faults last seconds, and a window of this length still holds enough requests to
+# compare.
 LOSSES_WINDOW_S = 5.0
 EXIT_INTERRUPTED = 130
 
@@ -47,7 +56,7 @@
 )
 
 
-class _ContractLine(NamedTuple):
+class _ContractRow(NamedTuple):
     team: str
     version: int
     weight: int
@@ -66,17 +75,17 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the command line.
+    """Run the command line and return its exit code.
 
     Parameters
     ----------
     arguments : sequence of str, optional
-        Arguments without the program's name; those of the process if left out.
+        Arguments without the program name; default: those of the process.
 
     Returns
     -------
     int
-        Exit code, one of `tamarackrill.exceptions.EXIT_CODES`.
+        One of `tamarackrill.exceptions.EXIT_CODES`, or `EXIT_INTERRUPTED`.
     """
     options = build_parser().parse_args(arguments)
     try:
@@ -88,29 +97,29 @@
         print(error.show(), file=sys.stderr)
         return error.exit_code
     except KeyboardInterrupt:
-        print("Interrupted; what was reported above stands.", file=sys.stderr)
+        print("Interrupted; changes reported above remain in place.", file=sys.stderr)
         return EXIT_INTERRUPTED
     return 0
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the parser of the whole command line."""
+    """Return the parser for all commands."""
     parser = argparse.ArgumentParser(
         prog="tamarackrill",
-        description="Operate a fleet of routers by contracts, and look at it.",
+        description="Manage the contracts of a fleet of routers and inspect the fleet.",
         epilog=_EPILOG,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
     groups = parser.add_subparsers(metavar="COMMAND", required=True)
     _add_contract_commands(groups)
-    _add_queries(groups)
-    _add_files(groups)
+    _add_query_commands(groups)
+    _add_file_commands(groups)
     bench = groups.add_parser(
         "bench",
-        help="put load on running routers and judge the answers",
-        description="Act as the callers of several teams: returning chats with "
-        "pauses, short lookups, non-idempotent calls and resends. Ends with exit "
-        "code 1 if an answer was lost, doubled or crossed.",
+        help="generate load on running routers and check the answers",
+        description="Simulates clients of several teams: multi-turn chats with "
+        "pauses, short lookups, non-idempotent calls and resends. Exits with code 1 "
+        "if an answer was lost or reached another client, or if a call ran twice.",
     )
     add_bench_arguments(bench)
     bench.set_defaults(action=run_bench, is_offline=True)
@@ -122,28 +131,28 @@
         "contract", help="write, check and read contracts"
     ).add_subparsers(metavar="COMMAND", required=True)
 
-    apply = _add(
+    apply = _add_online_command(
         contract,
         "apply",
         _apply,
-        "write contracts and wait until all routers have them in force",
-        "Checks all files first, shows what changes, and writes each contract on the "
-        "condition that nobody else changed it meanwhile. Safe to run again.",
+        "write contracts and wait until all routers apply them",
+        "Checks all files first, shows the changes, and writes each contract only if "
+        "nobody else has changed it in the meantime. Safe to run again.",
     )
     apply.add_argument("files", nargs="+", metavar="FILE", help="contract, as JSON")
     apply.add_argument(
         "--based-on",
         type=int,
         metavar="VERSION",
-        help="version that you edited ('contract show' names it); with one FILE only",
+        help="version that you edited (see 'contract show'); with one FILE only",
     )
     _add_wait(apply)
 
-    delete = _add(
+    delete = _add_online_command(
         contract,
         "delete",
         _delete,
-        "delete a contract: its team is refused everywhere within seconds",
+        "delete a contract; all routers refuse its team within seconds",
     )
     delete.add_argument("team", metavar="TEAM")
     _add_wait(delete)
@@ -151,32 +160,34 @@
     validate = contract.add_parser(
         "validate",
         help="check contract files without a platform",
-        description="Reports all faults of all files, each with its line and field.",
+        description="Reports every error in every file, with its line and field.",
     )
     validate.add_argument("files", nargs="+", metavar="FILE")
     validate.set_defaults(action=_validate, is_offline=True)
 
-    show = _add(contract, "show", _show, "print a contract in the form of a file")
+    show = _add_online_command(
+        contract, "show", _show, "print a contract in the format of a contract file"
+    )
     show.add_argument("team", metavar="TEAM")
     _add_json(show)
-    _add_json(_add(contract, "list", _list, "list all contracts"))
+    _add_json(_add_online_command(contract, "list", _list, "list all contracts"))
 
 
-def _add_files(groups: Any) -> None:
+def _add_file_commands(groups: Any) -> None:
     explain_log = groups.add_parser(
         "explain-log",
-        help="tell from the logs of routers what became of a request",
-        description="Gathers the lines that name a request over all files, and those "
-        "of the endpoints that it was sent to, in order of time.",
+        help="show from router logs what happened to a request",
+        description="Collects the lines about a request from all files, and those "
+        "about the endpoints that it was sent to, ordered by time.",
     )
-    explain_log.add_argument("request", metavar="ID", help="id of the client's attempt")
+    explain_log.add_argument("request", metavar="ID", help="ID of the client's attempt")
     explain_log.add_argument("files", nargs="+", metavar="FILE")
     explain_log.set_defaults(action=_explain_log, is_offline=True)
     losses = groups.add_parser(
         "losses",
-        help="tell from the logs of routers where requests were lost",
-        description="Counts how requests ended, by route, by cause and by moment; "
-        "explain-log tells of a single one.",
+        help="show from router logs where requests were lost",
+        description="Counts lost requests by route, by cause and by time window; "
+        "explain-log shows a single request.",
     )
     losses.add_argument("files", nargs="+", metavar="FILE")
     losses.add_argument(
@@ -184,14 +195,14 @@
         metavar="SECONDS",
         type=_read_window_s,
         default=LOSSES_WINDOW_S,
-        help="length of a moment (default: %(default)s)",
+        help="length of a time window (default: %(default)s)",
     )
     losses.set_defaults(action=_show_losses, is_offline=True)
     check = groups.add_parser(
         "check-settings",
-        help="check a settings file of the platform",
-        description="Reports all fields that are missing or of a wrong type, each with "
-        "its place; fields that are not known are passed over.",
+        help="check a platform settings file",
+        description="Reports all fields that are missing or have the wrong type, with "
+        "their location; unknown fields are ignored.",
     )
     check.add_argument("file", metavar="FILE")
     check.set_defaults(action=_check_settings, is_offline=True)
@@ -223,32 +234,34 @@
         print(f"{name} = {value}")
 
 
-def _add_queries(groups: Any) -> None:
-    fleet = groups.add_parser("fleet", help="look at the routers").add_subparsers(
+def _add_query_commands(groups: Any) -> None:
+    fleet = groups.add_parser("fleet", help="inspect the routers").add_subparsers(
         metavar="QUERY", required=True
     )
-    status = _add(
+    status = _add_online_command(
         fleet,
         "status",
         _fleet_status,
-        "list routers: who answers, who lags, who is not seen by whom",
+        "list routers: which answer, which lag, and which peers don't see them",
     )
     _add_json(status)
 
     endpoint = groups.add_parser(
-        "endpoint", help="look at model engines and services"
+        "endpoint", help="inspect model engines and services"
     ).add_subparsers(metavar="QUERY", required=True)
     _add_json(
-        _add(endpoint, "list", _endpoint_list, "list endpoints, faulty ones included")
+        _add_online_command(
+            endpoint, "list", _endpoint_list, "list endpoints, faulty ones included"
+        )
     )
 
-    explain = _add(
+    explain = _add_online_command(
         groups,
         "explain",
         _explain,
-        "tell where a call would go now, and why",
-        "Asks the home router of the chat, which decides; without a chat, any router. "
-        "Nothing is sent to an endpoint.",
+        "show where a call would be routed now, and why",
+        "Asks the home router of the chat, which chooses the endpoint; without a chat, "
+        "any router. Sends nothing to an endpoint.",
     )
     explain.add_argument("--team", required=True)
     explain.add_argument("--chat", default="", help="name of the chat")
@@ -256,21 +269,23 @@
     wanted.add_argument("--model")
     wanted.add_argument("--service")
     explain.add_argument(
-        "--router", metavar="HOST:PORT", help="router to ask; else one of the VM list"
+        "--router",
+        metavar="HOST:PORT",
+        help="router to ask; default: one of the VM list",
     )
     _add_json(explain)
 
 
-def _add(
-    group: Any, name: str, action: Action, help_text: str, more: str = ""
+def _add_online_command(
+    group: Any, name: str, action: Action, help_text: str, details: str = ""
 ) -> argparse.ArgumentParser:
-    description = f"{help_text[0].upper()}{help_text[1:]}. {more}".strip()
+    description = f"{help_text[0].upper()}{help_text[1:]}. {details}".strip()
     parser = group.add_parser(name, help=help_text, description=description)
     parser.add_argument(
         "--platform",
         metavar="HOST:PORT",
         default=os.environ.get(PLATFORM_VARIABLE),
-        help=f"the platform's object API (variable {PLATFORM_VARIABLE})",
+        help=f"address of the platform's object API (variable {PLATFORM_VARIABLE})",
     )
     parser.set_defaults(action=action, is_offline=False)
     return parser
@@ -282,20 +297,20 @@
 
 def _add_wait(parser: argparse.ArgumentParser) -> None:
     parser.add_argument(
-        "--no-wait", action="store_true", help="don't wait for the routers"
+        "--no-wait", action="store_true", help="don't wait until the routers apply it"
     )
     parser.add_argument(
         "--wait-max-s",
         type=float,
         default=WAIT_MAX_S,
         metavar="S",
-        help="longest wait in seconds (default %(default)s)",
+        help="maximum wait in seconds (default: %(default)s)",
     )
 
 
 async def _run_online(options: argparse.Namespace) -> None:
     if not options.platform:
-        hint = f"give --platform or set {PLATFORM_VARIABLE}"
+        hint = f"pass --platform or set {PLATFORM_VARIABLE}"
         raise FindingsError([Finding("--platform", "is required", hint)])
     AsyncHTTPClient.configure("tornado.curl_httpclient.CurlAsyncHTTPClient")
     http = AsyncHTTPClient()
@@ -306,7 +321,7 @@
         http.close()
 
 
-def _read_files(files: Sequence[str]) -> list[Document]:
+def _read_documents(files: Sequence[str]) -> list[Document]:
     documents: list[Document] = []
     findings: list[Finding] = []
     for file in files:
@@ -320,7 +335,7 @@
 
 
 def _validate(options: argparse.Namespace) -> None:
-    contracts = check_contracts(_read_files(options.files))
+    contracts = check_contracts(_read_documents(options.files))
     print(f"{len(contracts)} contract(s) are valid.")
 
 
@@ -328,22 +343,22 @@
     if options.based_on is not None and len(options.files) != 1:
         finding = Finding("--based-on", "needs exactly one FILE")
         raise FindingsError([finding])
-    documents = _read_files(options.files)
-    applied = await apply_contracts(
-        clients.platform, documents, options.based_on, _report
+    documents = _read_documents(options.files)
+    results = await apply_contracts(
+        clients.platform, documents, options.based_on, _print_result
     )
-    await _wait_for_rollout(options, clients, max(item.version for item in applied))
+    await _wait_for_rollout(options, clients, max(item.version for item in results))
 
 
 async def _delete(options: argparse.Namespace, clients: _Clients) -> None:
-    applied = await delete_contract(clients.platform, options.team)
-    _report(applied)
-    await _wait_for_rollout(options, clients, applied.version)
+    result = await delete_contract(clients.platform, options.team)
+    _print_result(result)
+    await _wait_for_rollout(options, clients, result.version)
 
 
-def _report(applied: Applied) -> None:
-    print(f"{applied.team}: {applied.outcome} (version {applied.version})")
-    for change in applied.changes:
+def _print_result(result: ContractResult) -> None:
+    print(f"{result.team}: {result.outcome} (version {result.version})")
+    for change in result.changes:
         print(f"  {change.show()}")
 
 
@@ -353,69 +368,71 @@
     if options.no_wait:
         print("Written; not waiting for the routers.")
         return
-    hint = "routers take it once they reach the platform or a peer; see: fleet status"
+    hint = "routers apply it once they reach the platform or a peer; see: fleet status"
     try:
         vms = await clients.platform.list_vms()
     except PlatformUnavailable as error:
-        # Passed on as it is, this would read as if nothing had been written.
+        # The bare error would suggest that nothing was written.
         message = f"written, but the VM list can't be read ({error.message})"
         raise NotInForce(message, hint) from error
-    found = await wait_in_force(clients.http, vms, version, options.wait_max_s)
-    if not found.is_everywhere:
-        raise NotInForce(_describe_missing(found), hint)
-    print(f"In force at {len(found.reached)} router(s) after {found.waited_s:.1f} s.")
-
-
-def _describe_missing(found: InForce) -> str:
-    if not (found.reached or found.behind or found.silent):
-        return "written, but the VM list names no live router"
-    total = len(found.reached) + len(found.behind) + len(found.silent)
-    parts = [f"written, but in force at {len(found.reached)} of {total} routers"]
-    if found.behind:
-        parts.append(f"behind: {', '.join(found.behind)}")
-    if found.silent:
-        parts.append(f"no answer: {', '.join(found.silent)}")
+    rollout = await wait_for_rollout(clients.http, vms, version, options.wait_max_s)
+    if not rollout.is_complete:
+        raise NotInForce(_describe_incomplete_rollout(rollout), hint)
+    print(
+        f"In force at {len(rollout.reached)} router(s) after {rollout.waited_s:.1f} s."
+    )
+
+
+def _describe_incomplete_rollout(rollout: RolloutStatus) -> str:
+    if not (rollout.reached or rollout.behind or rollout.silent):
+        return "written, but the VM list has no live router"
+    total = len(rollout.reached) + len(rollout.behind) + len(rollout.silent)
+    parts = [f"written, but in force at {len(rollout.reached)} of {total} routers"]
+    if rollout.behind:
+        parts.append(f"behind: {', '.join(rollout.behind)}")
+    if rollout.silent:
+        parts.append(f"no answer: {', '.join(rollout.silent)}")
     return "; ".join(parts)
 
 
 async def _show(options: argparse.Namespace, clients: _Clients) -> None:
-    found = await get_contract(clients.platform, options.team)
+    contract = await get_contract(clients.platform, options.team)
     if options.json:
-        print(format_json(found))
+        print(format_json(contract))
         return
-    print(format_json(found.value))
-    # Apart from the contract, so that the output can be kept as a file.
-    print(f"version {found.version}", file=sys.stderr)
+    print(format_json(contract.value))
+    # On stderr, so that stdout can be saved as a contract file.
+    print(f"version {contract.version}", file=sys.stderr)
 
 
 async def _list(options: argparse.Namespace, clients: _Clients) -> None:
-    found = await list_contracts(clients.platform)
+    contracts = await list_contracts(clients.platform)
     if options.json:
-        print(format_json(found))
+        print(format_json(contracts))
         return
-    lines = [
-        _ContractLine(
+    rows = [
+        _ContractRow(
             item.name,
             item.version,
-            *(item.value.get(field, "default") for field in _ContractLine._fields[2:]),
+            *(item.value.get(field, "default") for field in _ContractRow._fields[2:]),
         )
-        for item in found
+        for item in contracts
     ]
-    print(format_table(lines))
+    print(format_table(rows))
 
 
 async def _fleet_status(options: argparse.Namespace, clients: _Clients) -> None:
-    lines = await list_routers(clients.platform, clients.http)
-    print(format_json(lines) if options.json else format_table(lines))
+    rows = await list_routers(clients.platform, clients.http)
+    print(format_json(rows) if options.json else format_table(rows))
 
 
 async def _endpoint_list(options: argparse.Namespace, clients: _Clients) -> None:
-    lines = await list_endpoints(clients.platform)
-    print(format_json(lines) if options.json else format_table(lines))
+    rows = await list_endpoints(clients.platform)
+    print(format_json(rows) if options.json else format_table(rows))
 
 
 async def _explain(options: argparse.Namespace, clients: _Clients) -> None:
     router = options.router or await pick_router(clients.platform)
-    query = {name: getattr(options, name) or "" for name in EXPLAINED}
-    found = await ask_home(clients.http, router, query)
-    print(format_json(found) if options.json else format_explanation(found))
+    query = {name: getattr(options, name) or "" for name in EXPLAIN_PARAMETERS}
+    explanation = await fetch_home_explanation(clients.http, router, query)
+    print(format_json(explanation) if options.json else format_explanation(explanation))
--- a/src/tamarackrill/commands/__init__.py
+++ b/src/tamarackrill/commands/__init__.py
@@ -1,1 +1,1 @@
-"""What operators change."""
+"""Operator commands that change the fleet's configuration."""
--- a/src/tamarackrill/commands/rollout.py
+++ b/src/tamarackrill/commands/rollout.py
@@ -1,7 +1,7 @@
-"""Waits until the whole fleet has a version of the configuration in force.
+"""Waits until the whole fleet applies a version of the configuration.
 
-Known routers are those of the platform's VM list and those that any of them names as
-a member: the VM list lags, and a router that started a moment ago serves callers too.
+The routers of the fleet are those of the platform's VM list and those that any of them
+reports as a member: the VM list lags, and a newly started router serves callers too.
 """
 
 import asyncio
@@ -13,29 +13,29 @@
 from tamarackrill.contracts import Vm
 from tamarackrill.router_client import (
     Statuses,
-    complete_of,
     fetch_statuses,
-    list_members,
+    get_complete_revision,
+    list_live_members,
 )
 
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 
 
-class InForce(NamedTuple):
-    """How far a version has come.
+class RolloutStatus(NamedTuple):
+    """Progress of the rollout of a version.
 
     Parameters
     ----------
     version : int
-        The version waited for.
+        Version to roll out.
     reached : tuple of str
-        Addresses of routers that have it in force.
+        Addresses of routers that apply it.
     behind : tuple of str
-        Addresses of routers that answer but hold an older one.
+        Addresses of routers that answer but apply an older one.
     silent : tuple of str
         Addresses of routers that did not answer.
     waited_s : float
-        How long the wait took.
+        Duration of the wait.
     """
 
     version: int
@@ -45,63 +45,71 @@
     waited_s: float
 
     @property
-    def is_everywhere(self) -> bool:
-        """Whether every known router has the version, and there is any router."""
+    def is_complete(self) -> bool:
+        """Whether there is a router and every known router applies the version."""
         return bool(self.reached) and not self.behind and not self.silent
 
 
-async def wait_in_force(
+async def wait_for_rollout(
     client: AsyncHTTPClient, vms: tuple[Vm, ...], version: int, wait_max_s: float
-) -> InForce:
-    """Return once all known routers have a version in force, or after `wait_max_s`.
+) -> RolloutStatus:
+    """Wait until all known routers apply a version, for at most `wait_max_s`.
 
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Not owned.
+        HTTP client; the caller closes it.
     vms : tuple of Vm
         The platform's VM list.
     version : int
         Version of the object that was written.
     wait_max_s : float
-        Longest wait.
+        Maximum wait.
 
     Returns
     -------
-    InForce
+    RolloutStatus
     """
     start_s = time.monotonic()
-    # A VM without an address for other routers runs none.
-    known = {vm.address for vm in vms if vm.state == "live" and vm.peer_address}
+    # A VM without a peer address runs no router.
+    known_addresses = {
+        vm.address for vm in vms if vm.state == "live" and vm.peer_address
+    }
     while True:
-        if not known:
-            return InForce(version, (), (), (), time.monotonic() - start_s)
-        statuses = await fetch_statuses(client, sorted(known))
-        named = {a for status in statuses.values() for a in list_members(status)}
+        if not known_addresses:
+            return RolloutStatus(version, (), (), (), time.monotonic() - start_s)
+        statuses = await fetch_statuses(client, sorted(known_addresses))
+        member_addresses = {
+            a for status in statuses.values() for a in list_live_members(status)
+        }
         waited_s = time.monotonic() - start_s
-        found = _sort(statuses, version, waited_s)
-        unseen = named - known
-        if (found.is_everywhere and not unseen) or waited_s >= wait_max_s:
-            return found
-        known |= unseen
-        if not unseen:
-            await asyncio.sleep(POLL_S)
-
-
-def _sort(statuses: Statuses, version: int, waited_s: float) -> InForce:
+        rollout = _classify_routers(statuses, version, waited_s)
+        new_addresses = member_addresses - known_addresses
+        if (rollout.is_complete and not new_addresses) or waited_s >= wait_max_s:
+            return rollout
+        known_addresses |= new_addresses
+        if not new_addresses:
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+
+def _classify_routers(
+    statuses: Statuses, version: int, waited_s: float
+) -> RolloutStatus:
     reached, behind, silent = [], [], []
     for address, status in statuses.items():
         if status is None:
             silent.append(address)
-        elif _has_in_force(status, version):
+        elif _has_applied(status, version):
             reached.append(address)
         else:
             behind.append(address)
-    return InForce(version, tuple(reached), tuple(behind), tuple(silent), waited_s)
+    return RolloutStatus(
+        version, tuple(reached), tuple(behind), tuple(silent), waited_s
+    )
 
 
-def _has_in_force(status: dict[str, Any], version: int) -> bool:
-    # A router that can't read the contract holds it, but applies the one before.
+def _has_applied(status: dict[str, Any], version: int) -> bool:
+    # A router that finds the new contract faulty keeps applying the previous one.
     if any(item["version"] == version for item in status.get("faulty", ())):
         return False
-    return complete_of(status) >= version
+    return get_complete_revision(status) >= version
--- a/src/tamarackrill/queries/__init__.py
+++ b/src/tamarackrill/queries/__init__.py
@@ -1,1 +1,1 @@
-"""What operators look at."""
+"""Read-only operator commands."""
--- a/src/tamarackrill/queries/contracts.py
+++ b/src/tamarackrill/queries/contracts.py
@@ -7,22 +7,22 @@
 
 
 async def get_contract(platform: PlatformClient, team: str) -> PlatformObject:
-    """Return the contract of a team as it stands.
+    """Return the current contract of a team.
 
     Raises
     ------
     NotFound
-        If there is none.
+        If the team has no contract.
     PlatformUnavailable
         If the platform did not answer.
     """
-    found = await platform.get(CONTRACT_KIND, team)
-    if found is None:
+    contract = await platform.get(CONTRACT_KIND, team)
+    if contract is None:
         raise NotFound(f"there is no contract {team!r}", "see: contract list")
-    return found
+    return contract
 
 
 async def list_contracts(platform: PlatformClient) -> list[PlatformObject]:
-    """Return all contracts, by team."""
+    """Return all contracts, sorted by team."""
     listing = await platform.list(CONTRACT_KIND)
     return sorted(listing.items, key=lambda item: item.name)
--- a/src/tamarackrill/queries/explain.py
+++ b/src/tamarackrill/queries/explain.py
@@ -1,4 +1,4 @@
-"""Query: why a call would go where it would go."""
+"""Query that explains how a call would be routed."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -7,22 +7,22 @@
 
 from tamarackrill.router_client import fetch_explanation
 
-EXPLAINED = ("team", "chat", "model", "service")
+EXPLAIN_PARAMETERS = ("team", "chat", "model", "service")
 
 
-async def ask_home(
+async def fetch_home_explanation(
     client: AsyncHTTPClient, router: str, query: dict[str, str]
 ) -> dict[str, Any]:
-    """Return the explanation of the router that decides.
+    """Return the explanation of the home router, which routes the call.
 
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Not owned.
+        HTTP client; the caller closes it.
     router : str
-        ``host:port`` of the router to ask first; it names the home.
+        ``host:port`` of the router to ask first; it reports the home router.
     query : dict of str to str
-        Values of `EXPLAINED`.
+        Values of `EXPLAIN_PARAMETERS`.
 
     Raises
     ------
@@ -31,23 +31,23 @@
     RouterUnavailable
         If a router did not answer.
     """
-    found = await fetch_explanation(client, router, query)
-    homes = found["homes"]
-    if homes and homes[0] != found["router"]:
-        return await fetch_explanation(client, found["home_address"], query)
-    return found
+    explanation = await fetch_explanation(client, router, query)
+    homes = explanation["homes"]
+    if homes and homes[0] != explanation["router"]:
+        return await fetch_explanation(client, explanation["home_address"], query)
+    return explanation
 
 
-def format_explanation(found: dict[str, Any]) -> str:
-    """Return a router's explanation as lines for a terminal.
+def format_explanation(explanation: dict[str, Any]) -> str:
+    """Format a router's explanation as lines of text.
 
     Parameters
     ----------
-    found : dict
-        Answer of ``GET /v1/explain``.
+    explanation : dict
+        Response of ``GET /v1/explain``.
     """
     return "\n".join(
-        line for name, value in found.items() for line in _show(name, value)
+        line for name, value in explanation.items() for line in _show(name, value)
     )
 
 
--- a/src/tamarackrill/queries/fleet.py
+++ b/src/tamarackrill/queries/fleet.py
@@ -9,31 +9,31 @@
 from tamarackrill.router.platform_client import PlatformClient
 from tamarackrill.router_client import (
     Statuses,
-    complete_of,
     fetch_statuses,
-    list_members,
+    get_complete_revision,
+    list_live_members,
 )
 
 
-class RouterLine(NamedTuple):
-    """One router, as the platform and its peers see it.
+class RouterRow(NamedTuple):
+    """Status of one router, as the platform and its peers see it.
 
     Parameters
     ----------
     address : str
-        ``host:port`` for callers.
+        ``host:port`` for clients.
     router, zone : str
-        Its own name and zone; empty if it does not answer.
+        Name and zone that it reports; empty if it does not answer.
     state : {"answers", "silent"}
         Whether it answered this query.
     listed : bool
-        Whether the platform's VM list has it.
+        Whether it is in the platform's VM list.
     behind : int or None
-        Revisions of contracts that it still has to apply.
+        Number of contract revisions that it has yet to apply.
     in_flight : int or None
-        Calls that it works on.
+        Number of calls in progress.
     unseen_by : tuple of str
-        Routers that answer but don't count it among their live members.
+        Routers that answer but don't report it as an alive member.
     """
 
     address: str
@@ -46,8 +46,8 @@
     unseen_by: tuple[str, ...]
 
 
-class EndpointLine(NamedTuple):
-    """One endpoint object, or what is wrong with it."""
+class EndpointRow(NamedTuple):
+    """One endpoint object; `fault` describes an invalid one."""
 
     name: str
     kind: str
@@ -61,74 +61,76 @@
 
 async def list_routers(
     platform: PlatformClient, client: AsyncHTTPClient
-) -> list[RouterLine]:
-    """Return every router that the VM list or any router names."""
+) -> list[RouterRow]:
+    """Return all routers in the VM list and those that routers report as members."""
     vms = [vm for vm in await platform.list_vms() if vm.peer_address]
     listing = await platform.list(CONTRACT_KIND)
-    newest = max((item.version for item in listing.items), default=0)
+    newest_revision = max((item.version for item in listing.items), default=0)
     listed = {vm.address for vm in vms}
     statuses = await fetch_statuses(client, sorted(listed))
-    named = {a for status in statuses.values() for a in list_members(status)}
-    statuses |= await fetch_statuses(client, sorted(named - listed))
+    member_addresses = {
+        a for status in statuses.values() for a in list_live_members(status)
+    }
+    statuses |= await fetch_statuses(client, sorted(member_addresses - listed))
     return [
-        _describe(address, statuses, address in listed, newest)
+        _describe_router(address, statuses, address in listed, newest_revision)
         for address in sorted(statuses)
     ]
 
 
-async def list_endpoints(platform: PlatformClient) -> list[EndpointLine]:
-    """Return the endpoint objects of the platform, faulty ones included."""
+async def list_endpoints(platform: PlatformClient) -> list[EndpointRow]:
+    """Return the endpoint objects of the platform, including invalid ones."""
     listing = await platform.list(ENDPOINT_KIND)
-    return sorted(_read_line(item.name, item.value) for item in listing.items)
+    return sorted(_describe_endpoint(item.name, item.value) for item in listing.items)
 
 
 async def pick_router(platform: PlatformClient) -> str:
-    """Return the address of a router of the VM list.
+    """Return the address of the first live router in the VM list.
 
     Raises
     ------
     RouterUnavailable
-        If the list names no live one.
+        If the list has no live router.
     """
     for vm in await platform.list_vms():
         if vm.state == "live" and vm.peer_address:
             return vm.address
-    raise RouterUnavailable("the VM list names no live router", "give --router")
+    raise RouterUnavailable("the VM list has no live router", "pass --router")
 
 
-def _describe(
+def _describe_router(
     address: str,
     statuses: Statuses,
     is_listed: bool,
-    newest: int,
-) -> RouterLine:
+    newest_revision: int,
+) -> RouterRow:
     status = statuses[address]
     unseen_by = tuple(
         other.get("router", name)
         for name, other in statuses.items()
-        if other and name != address and address not in list_members(other)
+        if other and name != address and address not in list_live_members(other)
     )
     if status is None:
-        return RouterLine(address, "", "", "silent", is_listed, None, None, unseen_by)
-    return RouterLine(
+        return RouterRow(address, "", "", "silent", is_listed, None, None, unseen_by)
+    return RouterRow(
         address,
         status.get("router", ""),
         status.get("zone", ""),
         "answers",
         is_listed,
-        max(0, newest - complete_of(status)),
+        max(0, newest_revision - get_complete_revision(status)),
         status.get("in_flight"),
         unseen_by,
     )
 
 
-def _read_line(name: str, value: Any) -> EndpointLine:
+def _describe_endpoint(name: str, value: Any) -> EndpointRow:
     try:
         endpoint = read_endpoint(value)
     except FindingsError as error:
         fault = "; ".join(finding.show() for finding in error.findings)
-        return EndpointLine(name, "", "", "", "", "faulty", 0, fault)
-    return EndpointLine(
+        return EndpointRow(name, "", "", "", "", "faulty", 0, fault)
+    return EndpointRow(
         endpoint.name,
         endpoint.kind,
         ",".join(endpoint.serves),
--- a/src/tamarackrill/queries/losses.py
+++ b/src/tamarackrill/queries/losses.py
@@ -1,9 +1,9 @@
-"""Where requests were lost, worked out from the logs of routers.
+"""Query that counts lost requests in router logs by route, cause and time window.
 
-Each request ends in one way: an endpoint's answer, an endpoint's failure that was
-passed on, a refusal, an outcome that is not known, a stream that was cut, or a client
-that left.  Counted by route, by cause and by moment, these tell an operator what to
-look at first; `explain_log` then tells of a single request.
+Each request has one outcome: an endpoint's answer, an endpoint's failure that was
+passed on, a refusal, an unknown outcome, a truncated stream, or a client that
+disconnected.  The counts show an operator what to look at first; `explain_log` then
+shows a single request.
 """
 
 from collections import Counter, defaultdict
@@ -21,29 +21,29 @@
 )
 from tamarackrill.queries.explain_log import TIME_FIELD, parse_line
 
-# Status from which an answer counts as a failure of its endpoint.
-FAILED_STATUS = 500
-# Refusals that promise that nothing has run; others tell that the outcome is not known.
-PROMISES = (429, 503)
+# Answers with this status or a higher one count as failures of their endpoint.
+FAILURE_STATUS_MIN = 500
+# Refusals that guarantee that nothing has run; after others the outcome is unknown.
+NOT_RUN_STATUSES = (429, 503)
 ENDPOINTS_SHOWN = 3
-LATE_SHARE = 0.95
+FIRST_BYTE_QUANTILE = 0.95
 
 
 class RequestOutcome(NamedTuple):
-    """How one request ended.
+    """Outcome of one request.
 
     Parameters
     ----------
     time_s : float
-        When, in the log's time.
+        Time of the outcome, by the log's clock.
     route : str
-        Its route; empty if it matched none.
+        Route of the request; empty if it matched none.
     cause : str
-        Why it was lost; empty if an endpoint's answer reached its client.
+        Why it was lost; empty if it got an endpoint's answer.
     endpoint : str
-        Endpoint that it was sent to last; empty if it was sent to none.
+        Last endpoint that it was sent to; empty if it was sent to none.
     first_s : float or None
-        Time to the first byte of its answer.
+        Time to the first byte of the answer.
     """
 
     time_s: float
@@ -54,7 +54,7 @@
 
 
 class RouteLosses(NamedTuple):
-    """Requests of one route; `first_p95_s` is the time in which 95 in 100 began."""
+    """Losses on one route; `first_p95_s` is the 95th percentile of `first_s`."""
 
     route: str
     requests: int
@@ -65,15 +65,15 @@
 
 
 class CauseLosses(NamedTuple):
-    """Requests that were lost for one cause, and the endpoints with most of them."""
+    """Losses with one cause, and the endpoints with the most of them."""
 
     cause: str
     requests: int
     endpoints: tuple[str, ...]
 
 
-class MomentLosses(NamedTuple):
-    """Requests that ended within a span of time."""
+class WindowLosses(NamedTuple):
+    """Losses among the requests that ended in one time window."""
 
     from_s: float
     requests: int
@@ -83,20 +83,20 @@
 
 
 class Losses(NamedTuple):
-    """What was lost, in three views."""
+    """Lost requests by route, by cause and by time window."""
 
     by_route: tuple[RouteLosses, ...]
     by_cause: tuple[CauseLosses, ...]
-    by_moment: tuple[MomentLosses, ...]
+    by_moment: tuple[WindowLosses, ...]
 
 
 def find_outcomes(lines: Iterable[str]) -> list[RequestOutcome]:
-    """Return how requests ended, in order of time.
+    """Return the outcome of each request, ordered by time.
 
     Parameters
     ----------
     lines : iterable of str
-        Lines of JSON, of any number of routers; others are passed over.
+        JSON log lines of any number of routers; other lines are ignored.
     """
     parsed = [line for text in lines if (line := parse_line(text)) is not None]
     parsed.sort(key=lambda line: line[TIME_FIELD])
@@ -108,13 +108,13 @@
             continue
         if line.get("event") == CALL_SENT.number:
             sent[request] = line
-        outcome = _read_ending(line, sent.get(request, {}))
+        outcome = _read_outcome(line, sent.get(request, {}))
         if outcome is not None:
             ended[request] = outcome
     return sorted(ended.values(), key=lambda outcome: outcome.time_s)
 
 
-def _read_ending(
+def _read_outcome(
     line: Mapping[str, Any], sent: Mapping[str, Any]
 ) -> RequestOutcome | None:
     cause = _find_cause(line)
@@ -130,15 +130,19 @@
 
 
 def _find_cause(line: Mapping[str, Any]) -> str | None:
-    """Return why a request ended with this line, "" if well, None if it did not end."""
+    """Return why a request was lost, "" if answered, None if it has not ended."""
     event = line.get("event")
     if event == CALL_ANSWERED.number:
         status = int(line["status"])
-        return f"endpoint answered {status}" if status >= FAILED_STATUS else ""
+        return f"endpoint answered {status}" if status >= FAILURE_STATUS_MIN else ""
     if event == CALL_ATTEMPT_FAILED.number and line.get("next") == "answer":
         return f"endpoint failed: {line['detail']}"
     if event == CALL_REFUSED.number:
-        kind = "refused" if line["status"] in PROMISES else f"answered {line['status']}"
+        kind = (
+            "refused"
+            if line["status"] in NOT_RUN_STATUSES
+            else f"answered {line['status']}"
+        )
         return f"{kind}: {line['reason']}"
     if event == CALL_CUT.number:
         return f"stream cut: {line['reason']}"
@@ -146,57 +150,59 @@
 
 
 def summarize(outcomes: Sequence[RequestOutcome], window_s: float) -> Losses:
-    """Return what was lost by route, by cause and in each span of `window_s`."""
-    began_s = outcomes[0].time_s if outcomes else 0.0
+    """Count losses by route, by cause and by time window of `window_s`."""
+    start_s = outcomes[0].time_s if outcomes else 0.0
     routes: dict[str, list[RequestOutcome]] = defaultdict(list)
-    moments: dict[int, list[RequestOutcome]] = defaultdict(list)
+    windows: dict[int, list[RequestOutcome]] = defaultdict(list)
     for outcome in outcomes:
         routes[outcome.route].append(outcome)
-        moments[int((outcome.time_s - began_s) / window_s)].append(outcome)
-    by_route = [_sum_route(route, found) for route, found in routes.items()]
+        windows[int((outcome.time_s - start_s) / window_s)].append(outcome)
+    by_route = [_summarize_route(route, group) for route, group in routes.items()]
     by_moment = [
-        _sum_moment(number * window_s, found) for number, found in moments.items()
+        _summarize_window(number * window_s, group) for number, group in windows.items()
     ]
     return Losses(
         tuple(sorted(by_route, key=lambda line: (-line.lost, line.route))),
-        _sum_causes(outcomes),
+        _summarize_causes(outcomes),
         tuple(by_moment),
     )
 
 
-def _count_lost(outcomes: Iterable[RequestOutcome]) -> Counter[str]:
+def _count_causes(outcomes: Iterable[RequestOutcome]) -> Counter[str]:
     return Counter(outcome.cause for outcome in outcomes if outcome.cause)
 
 
-def _name_main(causes: Counter[str]) -> str:
+def _find_main_cause(causes: Counter[str]) -> str:
     return causes.most_common(1)[0][0] if causes else ""
 
 
-def _sum_route(route: str, outcomes: Sequence[RequestOutcome]) -> RouteLosses:
-    causes = _count_lost(outcomes)
+def _summarize_route(route: str, outcomes: Sequence[RequestOutcome]) -> RouteLosses:
+    causes = _count_causes(outcomes)
     first_s = sorted(e.first_s for e in outcomes if e.first_s is not None)
-    late_s = first_s[int(LATE_SHARE * (len(first_s) - 1))] if first_s else None
+    p95_s = first_s[int(FIRST_BYTE_QUANTILE * (len(first_s) - 1))] if first_s else None
     lost, count = causes.total(), len(outcomes)
     share = round(lost / count, 4)
-    return RouteLosses(route, count, lost, share, _name_main(causes), late_s)
+    return RouteLosses(route, count, lost, share, _find_main_cause(causes), p95_s)
 
 
-def _sum_moment(from_s: float, outcomes: Sequence[RequestOutcome]) -> MomentLosses:
-    causes = _count_lost(outcomes)
+def _summarize_window(
+    from_s: float, outcomes: Sequence[RequestOutcome]
+) -> WindowLosses:
+    causes = _count_causes(outcomes)
     lost, count = causes.total(), len(outcomes)
     share = round(lost / count, 4)
-    return MomentLosses(from_s, count, lost, share, _name_main(causes))
+    return WindowLosses(from_s, count, lost, share, _find_main_cause(causes))
 
 
-def _sum_causes(outcomes: Sequence[RequestOutcome]) -> tuple[CauseLosses, ...]:
-    found = []
-    for cause, count in _count_lost(outcomes).most_common():
+def _summarize_causes(outcomes: Sequence[RequestOutcome]) -> tuple[CauseLosses, ...]:
+    losses = []
+    for cause, count in _count_causes(outcomes).most_common():
         names = Counter(e.endpoint for e in outcomes if e.cause == cause and e.endpoint)
         worst = tuple(name for name, _ in names.most_common(ENDPOINTS_SHOWN))
-        found.append(CauseLosses(cause, count, worst))
-    return tuple(found)
+        losses.append(CauseLosses(cause, count, worst))
+    return tuple(losses)
 
 
 def format_losses(losses: Losses) -> str:
-    """Return the three views as tables."""
+    """Format the losses as three tables."""
     return "\n\n".join(format_table(view) for view in losses)
--- a/src/tamarackrill/router_client.py
+++ b/src/tamarackrill/router_client.py
@@ -1,4 +1,4 @@
-"""What operators' commands and queries ask of a router."""
+"""Client for the router API that commands and queries use."""
 
 import asyncio
 import json
@@ -14,23 +14,23 @@
 NOT_FOUND = 404
 ALIVE = "alive"
 
-# Status of each router by address; None for one that does not answer.
+# Status of each router by address; None if the router did not answer.
 Statuses = dict[str, dict[str, Any] | None]
 
 
 async def fetch_status(client: AsyncHTTPClient, address: str) -> dict[str, Any]:
-    """Return what a router says of itself.
+    """Return a router's status.
 
     Raises
     ------
     RouterUnavailable
-        If it did not answer.
+        If the router did not answer.
     """
-    return await _fetch(client, address, "/v1/status")
+    return await _fetch_json(client, address, "/v1/status")
 
 
 async def fetch_statuses(client: AsyncHTTPClient, addresses: list[str]) -> Statuses:
-    """Return the status of each router, or None for one that does not answer."""
+    """Return the status of each router, or None if it did not answer."""
 
     async def fetch(address: str) -> dict[str, Any] | None:
         try:
@@ -38,18 +38,18 @@
         except RouterUnavailable:
             return None
 
-    found = await asyncio.gather(*(fetch(address) for address in addresses))
-    return dict(zip(addresses, found, strict=True))
+    statuses = await asyncio.gather(*(fetch(address) for address in addresses))
+    return dict(zip(addresses, statuses, strict=True))
 
 
-def list_members(status: dict[str, Any] | None) -> set[str]:
-    """Return the addresses of the live members that a router names."""
+def list_live_members(status: dict[str, Any] | None) -> set[str]:
+    """Return the addresses of the members that a router reports as alive."""
     members = status.get("members", ()) if status else ()
     return {member["address"] for member in members if member["state"] == ALIVE}
 
 
-def complete_of(status: dict[str, Any]) -> int:
-    """Return the revision up to which a router lacks no contract."""
+def get_complete_revision(status: dict[str, Any]) -> int:
+    """Return the revision up to which a router has received all contracts."""
     return int(status.get("complete", {}).get(CONTRACT_KIND, 0))
 
 
@@ -61,7 +61,7 @@
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Not owned.
+        HTTP client; the caller closes it.
     address : str
         ``host:port`` of the router.
     query : dict of str to str
@@ -70,14 +70,16 @@
     Raises
     ------
     NotFound
-        If the router knows no such team or model.
+        If the router does not know the team or the model.
     RouterUnavailable
-        If it did not answer.
+        If the router did not answer.
     """
-    return await _fetch(client, address, f"/v1/explain?{urlencode(query)}")
+    return await _fetch_json(client, address, f"/v1/explain?{urlencode(query)}")
 
 
-async def _fetch(client: AsyncHTTPClient, address: str, path: str) -> dict[str, Any]:
+async def _fetch_json(
+    client: AsyncHTTPClient, address: str, path: str
+) -> dict[str, Any]:
     request = HTTPRequest(
         f"http://{address}{path}",
         request_timeout=CALL_TIMEOUT_S,
@@ -91,6 +93,6 @@
     if response.code == NOT_FOUND and isinstance(body, dict):
         raise NotFound(f"router {address}: {body.get('message', 'not known')}")
     if response.error is not None or not isinstance(body, dict):
-        reason = response.error or "the answer has another form"
+        reason = response.error or "unexpected response format"
         raise RouterUnavailable(f"router {address}: {reason}")
     return body
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -50,7 +50,7 @@
     asyncio.run(run())
 
 
-def test_apply_tells_what_changes_and_can_be_repeated():
+def test_apply_reports_changes_and_can_be_repeated():
     async def scenario(state, platform):
         (first,) = await apply_contracts(platform, make_documents())
         (second,) = await apply_contracts(platform, make_documents(rate_per_s=7))
@@ -69,19 +69,19 @@
     run_with_platform(scenario)
 
 
-class RacedPlatform(PlatformClient):
+class ConcurrentWritePlatform(PlatformClient):
     async def put(self, kind, name, value, expected_version):
-        raced = make_contract(weight=9)
-        await super().put(kind, name, raced, expected_version)
+        concurrent_value = make_contract(weight=9)
+        await super().put(kind, name, concurrent_value, expected_version)
         return await super().put(kind, name, value, expected_version)
 
 
-def test_raced_operator_is_told_what_came_first():
-    # Two operators change one contract at the same moment.  Without the condition
-    # the second would undo the first's change, and neither would hear of it.
+def test_concurrent_change_is_reported_as_a_conflict():
+    # Two operators change one contract at the same time.  Without the version
+    # condition the second write would silently undo the first one.
     async def scenario(state, platform):
         await apply_contracts(platform, make_documents())
-        platform.__class__ = RacedPlatform
+        platform.__class__ = ConcurrentWritePlatform
         with pytest.raises(VersionConflict, match="weight: 1 -> 9"):
             await apply_contracts(platform, make_documents(rate_per_s=7))
         assert state.objects[CONTRACT_KIND, "hall"].value == make_contract(weight=9)
@@ -89,9 +89,9 @@
     run_with_platform(scenario)
 
 
-def test_file_that_was_edited_for_long_does_not_undo_a_change():
-    # An operator saves a contract to a file and edits it over lunch; a colleague
-    # raises the weight meanwhile.  The file must not silently take it back.
+def test_outdated_file_does_not_undo_a_change():
+    # An operator edits a copy of a contract while another one raises its weight.
+    # Applying the outdated copy must not silently revert the new weight.
     async def scenario(state, platform):
         (first,) = await apply_contracts(platform, make_documents())
         await apply_contracts(platform, make_documents(weight=9))
@@ -102,9 +102,9 @@
 
 
 @pytest.mark.parametrize("faults", [Faults(lose_answers=1), Faults(drop_writes=1)])
-def test_lost_answer_to_a_write_is_settled(faults):
-    # The platform answers a write with an error; it may or may not have taken effect.
-    # The operator must hear what stands, and a change must not be written twice.
+def test_lost_response_to_a_write_is_confirmed(faults):
+    # The platform answers a write with an error, whether or not it took effect.
+    # The command must report the actual state and not write the change twice.
     async def scenario(state, platform):
         state.faults = faults
         (applied,) = await apply_contracts(platform, make_documents())
@@ -118,21 +118,24 @@
     run_with_platform(scenario)
 
 
-def test_unsettled_write_is_not_called_done():
-    # Every answer is lost, the ones to reads too: nobody can tell what stands.
+def test_unconfirmed_write_is_not_reported_as_done():
+    # All responses are lost, those to reads too, so the write's outcome is unknown and
+    # must not be reported as success.
     async def scenario(state, platform):
         async def lose(*arguments):
             state.faults = Faults(outage=True)
             raise PlatformUnavailable("platform: lost")
 
         platform.put = lose
-        with pytest.raises(PlatformUnavailable, match="may or may not stand"):
+        with pytest.raises(
+            PlatformUnavailable, match="may or may not have taken effect"
+        ):
             await apply_contracts(platform, make_documents())
 
     run_with_platform(scenario)
 
 
-def test_key_of_a_standing_contract_is_refused():
+def test_key_of_an_existing_contract_is_rejected():
     async def scenario(state, platform):
         await apply_contracts(platform, make_documents())
         with pytest.raises(FindingsError) as caught:
@@ -143,9 +146,9 @@
     run_with_platform(scenario)
 
 
-def test_written_change_is_not_called_lost_when_the_vm_list_fails():
-    # The write is answered, then the platform goes down.  "Not available" alone would
-    # have the operator believe that nothing was written.
+def test_failing_vm_list_does_not_hide_a_written_change():
+    # The platform goes down after it answered the write.  An error that says only "not
+    # available" would suggest that nothing was written.
     error = PlatformUnavailable("platform: down")
 
     class Platform:
@@ -195,9 +198,9 @@
         assert answer.status == 200
 
 
-def test_frozen_router_is_named(fleet, run, tmp_path):
-    # A VM stops for seconds while a contract is applied.  Its router goes on with
-    # the old limits once it wakes, so the operator must not be told "in force".
+def test_frozen_router_is_reported_as_not_answering(fleet, run, tmp_path):
+    # A VM is frozen for seconds while a contract is applied.  After it resumes, its
+    # router still applies the old limits, so the command must not report success.
     frozen = fleet.routers["router-2"]
     frozen.send(signal.SIGSTOP)
     try:
@@ -209,9 +212,9 @@
     assert f"no answer: {frozen.address}" in err
 
 
-def test_faulty_object_leaves_the_version_before_in_force(fleet, run):
-    # Someone writes a contract past the command line, with a rate that is no number.
-    # Routers that followed it would fail; they keep what they have and say so.
+def test_faulty_object_leaves_the_previous_version_in_force(fleet, run):
+    # A contract is written without the command line, with a rate that is not a number.
+    # Routers that applied it would fail; they keep the previous version and log it.
     version = fleet.put_contract(make_contract(rate_per_s="fast"))
     for router in fleet.routers.values():
         line = router.wait_line(" object_faulty kind=contract object=hall ")
@@ -257,21 +260,21 @@
         (("explain", "--team", "t", "--model", "m", "--router", "127.0.0.1:1"), 4, ""),
     ],
 )
-def test_mistake_gives_one_line_and_a_code(run, arguments, code, part):
+def test_error_prints_one_line_and_sets_the_exit_code(run, arguments, code, part):
     found, out, err = run(*arguments)
     assert (found, out) == (code, "")
     assert part in err
     assert "Traceback" not in err
 
 
-def test_address_of_a_router_is_no_platform(fleet, capsys):
+def test_router_address_is_rejected_as_platform(fleet, capsys):
     address = fleet.routers["router-1"].address
     for query in (("contract", "list"), ("fleet", "status")):
         assert main([*query, "--platform", address]) == 4
     assert "not one of an object API" in capsys.readouterr().err
 
 
-def test_platform_that_does_not_answer(capsys):
+def test_unreachable_or_missing_platform_is_an_error(capsys):
     code = main(["contract", "list", "--platform", "127.0.0.1:1"])
     assert code == 4
     assert main(["contract", "list"]) == 2
--- a/tests/test_explain_log.py
+++ b/tests/test_explain_log.py
@@ -33,11 +33,11 @@
     ]
 
 
-def test_request_that_no_line_names():
+def test_request_without_log_lines():
     assert "no line" in format_lines(find_lines("z", LINES))
 
 
-def test_command_gathers_over_files(tmp_path, capsys):
+def test_command_merges_files(tmp_path, capsys):
     first, second = tmp_path / "a.log", tmp_path / "b.log"
     first.write_text("\n".join(LINES[:4]))
     second.write_text("\n".join(LINES[4:]))
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("command", ["explain-log a", "check-settings"])
-def test_missing_file_is_a_finding(command, tmp_path, capsys):
+def test_missing_file_is_reported(command, tmp_path, capsys):
     missing = str(tmp_path / "missing")
     assert main([*command.split(), missing]) == 2
     assert missing in capsys.readouterr().err
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost, by the logs of routers."""
+"""Lost requests, counted from router logs."""
 
 import json
 
@@ -49,14 +49,14 @@
 }
 
 
-def test_each_request_ends_in_one_way():
+def test_each_request_has_one_outcome():
     outcomes = find_outcomes(reversed(LINES))
     assert [outcome.cause for outcome in outcomes] == ["", *CAUSES.values()]
     assert [outcome.route for outcome in outcomes] == ["chat"] * 3 + ["desk"] * 3
     assert outcomes[2].endpoint == "w3"
 
 
-def test_losses_are_counted_by_route_cause_and_moment():
+def test_losses_are_counted_by_route_cause_and_window():
     losses = summarize(find_outcomes(LINES), 5.0)
     desk, chat = losses.by_route
     assert (desk.route, desk.requests, desk.lost, desk.lost_share) == ("desk", 3, 3, 1)
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("text", ["0", "-1", "nan", "inf", "x"])
-def test_window_has_to_be_a_time(text, capsys):
+def test_invalid_window_is_rejected(text, capsys):
     with pytest.raises(SystemExit):
         main(["losses", "a.log", "--window-s", text])
     assert "--window-s" in capsys.readouterr().err
