--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -32,7 +32,7 @@
                 yield words[words.index(program) + 1 :]
 
 
-def test_contracts_of_the_pages_are_valid():
+def test_contracts_in_the_docs_are_valid():
     count = 0
     for name, block in find_blocks("json"):
         if "tamarackrill/contract/" in block:
@@ -48,7 +48,7 @@
         ("tamarackrilld", build_daemon_parser(), 4),
     ],
 )
-def test_commands_of_the_pages_are_understood(program, parser, least):
+def test_commands_in_the_docs_parse(program, parser, least):
     commands = list(find_commands(program))
     assert len(commands) >= least
     for arguments in commands:
@@ -56,7 +56,7 @@
             parser.parse_args(arguments)
 
 
-def test_links_of_the_pages_lead_somewhere():
+def test_links_in_the_docs_resolve():
     for page in PAGES:
         for target in re.findall(r"\]\(([^)#:]+)(?:#[^)]*)?\)", page.read_text()):
             assert (page.parent / target).exists(), f"{page.name}: {target}"
@@ -82,7 +82,7 @@
 
 
 def test_each_refusal_code_is_explained():
-    # A caller who gets a code that no page explains does not know whether to resend.
+    # A client that gets an undocumented code can't tell whether to resend the call.
     explained = set(re.findall(r"^\| `(\w+)` \| \d{3} ", OPERATIONS, re.M))
     assert set(find_refusal_codes()) <= explained
     text = "".join(path.read_text() for path in SOURCE.rglob("*.py"))
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("name", ZONES)
-def test_deployment_is_whole(name):
+def test_deployment_is_complete(name):
     directory = EXAMPLES / name
     files = sorted((directory / "contracts").glob("*.json"))
     contracts = check_contracts([read_document(str(file)) for file in files])
@@ -46,7 +46,7 @@
     assert {endpoint.zone for endpoint in endpoints} <= ZONES[name]
 
 
-def test_typo_in_an_example_is_found_at_its_line(tmp_path, capsys):
+def test_typo_is_reported_with_its_line(tmp_path, capsys):
     source = EXAMPLES / "cegin-ddata" / "contracts" / "arlwyo-teifi.json"
     file = tmp_path / "typo.json"
     file.write_text(source.read_text().replace("deadline_s", "deadlin_s"))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Routers as processes that are killed, frozen and cut off from the platform."""
+"""Router processes that are restarted, frozen or cut off from the platform."""
 
 import signal
 import socket
@@ -26,7 +26,7 @@
 
 
 def taken(router, name):
-    """Return version and source of each version of a contract, in order."""
+    """Return the versions of a contract that a router applied, and their sources."""
     marks = (" configuration_taken ", f" object={name} ")
     lines = [line for line in router.lines if all(mark in line for mark in marks)]
     fields = [dict(w.split("=", 1) for w in line.split() if "=" in w) for line in lines]
@@ -45,10 +45,10 @@
     return members.get(name)
 
 
-def test_router_started_in_an_outage_takes_the_newest_from_its_peers(fleet):
-    # The platform and its VM list are down when a VM is replaced.  Without its peers
-    # the new router would know no customer and refuse everybody, for as long as the
-    # outage lasts.
+def test_router_started_in_an_outage_gets_contracts_from_its_peers(fleet):
+    # A VM is replaced while the platform and its VM list are down.  If the new router
+    # did not get contracts from its peers, it would know no team and refuse all calls
+    # until the outage ends.
     newest = fleet.put_contract(make_contract("t", 2))
     for router in fleet.routers.values():
         wait_version(router, "t", newest)
@@ -60,13 +60,13 @@
 
 
 def test_change_reaches_a_router_whose_watch_is_lost(fleet):
-    # A zone is cut off from the platform while an operator lowers a limit.  Its routers
-    # would enforce the old one until the cut ends, and the operator is told otherwise.
+    # A zone is cut off from the platform while an operator lowers a limit.  Without
+    # gossip, its routers would enforce the old limit until the cut ends.
     cut = fleet.add_router("c", "zone-cut")
     fleet.wait_ready()
     fleet.platform.set_faults(cut=["zone-cut"])
-    # A watch that was already open brings one more change; the next ones must come
-    # from peers.
+    # A watch that is already open delivers one more change; later ones must come from
+    # peers.
     fleet.put_contract(make_contract("t", 2))
     cut.wait_line(" platform_lost ")
     newest = fleet.put_contract(make_contract("t", 3))
@@ -74,10 +74,10 @@
     assert taken(cut, "t")[-1] == (newest, "a") or taken(cut, "t")[-1] == (newest, "b")
 
 
-def test_frozen_router_never_goes_back_and_never_takes_others_back(fleet):
-    # A router is frozen while a contract is changed and another deleted.  Awake, it
-    # holds the old ones and gossips them; its peers must not take them, and it must
-    # take theirs.
+def test_frozen_router_does_not_revert_contracts(fleet):
+    # A router is frozen while one contract is changed and another deleted.  After it
+    # resumes, it gossips the old versions; its peers must ignore them, and it must
+    # adopt theirs.
     deleted = fleet.put_contract(make_contract("u"))
     frozen, other = fleet.routers["a"], fleet.routers["b"]
     for router in (frozen, other):
@@ -90,7 +90,9 @@
     wait_version(other, "u", newest + 1)
     fleet.platform.set_faults(**OUTAGE, stale_reads=2)
     frozen.send(signal.SIGCONT)
-    wait_for(lambda: state_seen(other, "a") == "alive", "it is back")
+    wait_for(
+        lambda: state_seen(other, "a") == "alive", "the frozen router is alive again"
+    )
     wait_version(frozen, "u", newest + 1)
     wait_version(frozen, "t", newest)
     for router in (frozen, other):
@@ -99,10 +101,10 @@
             assert versions == sorted(versions)
 
 
-def test_stale_reads_after_an_outage_bring_nothing_back(fleet):
-    # The platform comes back with an old copy, as a failover of its store does, and a
-    # VM is replaced just then.  Neither those that held the newest contract nor the
-    # new one may be left with the old one.
+def test_stale_reads_after_an_outage_revert_no_contract(fleet):
+    # After an outage the platform serves stale data, as after a failover of its store,
+    # while a VM is replaced.  Neither the running routers, which hold the newest
+    # contract, nor the new router may end up with the old one.
     newest = fleet.put_contract(make_contract("t", 2))
     for router in fleet.routers.values():
         wait_version(router, "t", newest)
@@ -120,8 +122,8 @@
         fleet.routers[name].wait_line(" platform_back")
 
 
-def test_strangers_message_is_dropped_counted_and_logged(fleet):
-    # Anyone who reaches the peer port can send to it.
+def test_message_of_a_stranger_is_dropped_counted_and_logged(fleet):
+    # Any host that can reach the peer port can send packets to it.
     router = fleet.routers["a"]
     host, port = router.read_field("router_started", "peer_address").split(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
@@ -133,10 +135,10 @@
     assert answer.status == 403
 
 
-def test_peer_keys_change_router_by_router():
-    # Operators change the key: first each router takes both and signs with the old
-    # one, then with the new one, then it drops the old one.  No pair of neighbouring
-    # steps may lose sight of one another.
+def test_peer_keys_can_be_rotated_router_by_router():
+    # Operators rotate the peer key: each router first accepts both keys and signs with
+    # the old one, then signs with the new one, then drops the old one.  Routers one
+    # step apart must keep seeing each other as alive.
     old, new = "the old key", "the new key"
     steps = [old, f"{old},{new}", f"{new},{old}", new]
     for first, second in zip(steps, steps[1:], strict=False):
@@ -146,5 +148,5 @@
             for router, name in (("a", "b"), ("b", "a")):
                 wait_for(
                     lambda r=router, n=name: state_seen(fleet.routers[r], n) == "alive",
-                    "they see one another",
+                    "the routers see each other",
                 )
