--- a/src/tamarackrill/load/plot.py
+++ b/src/tamarackrill/load/plot.py
@@ -1,20 +1,20 @@
-"""Plot of a run's quantiles; needs the optional package matplotlib."""
+"""Plots the latency quantiles of a run; needs the optional package matplotlib."""
 
 from tamarackrill.exceptions import Finding, FindingsError
-from tamarackrill.load.judgement import Judgement
+from tamarackrill.load.results import LoadResults
 
 PLOT_QUANTILES = (0.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 
 
-def write_plot(judgement: Judgement, path: str) -> None:
-    """Write the time to the whole answer by quantile, one line for each kind.
+def write_plot(results: LoadResults, path: str) -> None:
+    """Plot the latency of complete answers by quantile, one line per kind of call.
 
     Parameters
     ----------
-    judgement : Judgement
-        Figures of the run.
+    results : LoadResults
+        Results of the run.
     path : str
-        File whose ending, ``.svg`` or ``.png``, decides the form.
+        Output file; its extension, ``.svg`` or ``.png``, selects the format.
 
     Raises
     ------
@@ -29,7 +29,7 @@
         raise FindingsError([finding]) from error
     figure = Figure(figsize=(8, 5))
     axes = figure.subplots()
-    for (measure, label), histogram in sorted(judgement.histograms.items()):
+    for (measure, label), histogram in sorted(results.histograms.items()):
         if measure != "answer" or label.startswith("team "):
             continue
         values_ms = [
@@ -41,7 +41,7 @@
     axes.set_xticks(range(len(PLOT_QUANTILES)), [f"{q:g}" for q in PLOT_QUANTILES])
     axes.set_yscale("log")
     axes.set_xlabel("quantile, %")
-    axes.set_ylabel("time to the whole answer, ms")
+    axes.set_ylabel("time to complete answer, ms")
     if axes.lines:
         axes.legend()
     figure.savefig(path)
--- a/src/tamarackrill/load/runner.py
+++ b/src/tamarackrill/load/runner.py
@@ -1,4 +1,4 @@
-"""Runs a plan against routers, bounded in calls and in time."""
+"""Runs a load plan against routers, with limits on concurrency and time."""
 
 import asyncio
 import json
@@ -7,8 +7,8 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 
 from tamarackrill.load.calls import Target, send_call
-from tamarackrill.load.judgement import Judgement, Received
 from tamarackrill.load.plan import Session
+from tamarackrill.load.results import CallResult, LoadResults
 
 STATE_TIMEOUT_S = 5.0
 
@@ -18,61 +18,61 @@
     target: Target,
     sessions: list[Session],
     time_max_s: float,
-) -> Judgement:
-    """Send all calls of a plan and judge what came back.
+) -> LoadResults:
+    """Send all calls of a plan and collect the results.
 
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Bounds the calls in flight; not owned.
+        HTTP client, which limits the calls in flight; the caller closes it.
     target : Target
-        Where calls go.
+        Routers to call, and what the calls contain.
     sessions : list of Session
-        The plan.
+        Sessions of the plan.
     time_max_s : float
-        Calls that are not over by then count as lost, with the reason "run ended".
+        Time limit; calls unfinished by then count as lost, for the reason "run ended".
 
     Returns
     -------
-    Judgement
+    LoadResults
     """
-    judgement = Judgement()
+    results = LoadResults()
     start_s = time.monotonic()
     tasks = [
         asyncio.create_task(
-            _run_session(client, target, session, number, start_s, judgement)
+            _run_session(client, target, session, number, start_s, results)
         )
         for number, session in enumerate(sessions)
     ]
     _, unfinished = await asyncio.wait(tasks, timeout=time_max_s)
     for task in unfinished:
         task.cancel()
-    results = await asyncio.gather(*tasks, return_exceptions=True)
-    for result in results:
-        if isinstance(result, Exception):
-            raise result
+    task_results = await asyncio.gather(*tasks, return_exceptions=True)
+    for task_result in task_results:
+        if isinstance(task_result, Exception):
+            raise task_result
     planned = sum(len(session.calls) for session in sessions)
-    missing = planned - judgement.counts["calls"]
+    missing = planned - results.counts["calls"]
     if missing:
-        judgement.counts["calls"] += missing
-        judgement.counts["lost"] += missing
-        judgement.losses["run ended"] += missing
-    return judgement
+        results.counts["calls"] += missing
+        results.counts["lost"] += missing
+        results.losses["run ended"] += missing
+    return results
 
 
 async def count_runs(
     client: AsyncHTTPClient, services: tuple[str, ...], run: str
 ) -> dict[str, int]:
-    """Return how often the service stand-ins ran each key of a run.
+    """Return how often the service stand-ins ran each idempotency key of a run.
 
     Parameters
     ----------
     client : tornado.httpclient.AsyncHTTPClient
-        Not owned.
+        HTTP client; the caller closes it.
     services : tuple of str
-        ``host:port`` of each worker; the stand-ins tell what they ran.
+        ``host:port`` of each stand-in; those that do not answer are skipped.
     run : str
-        Identity of the run.
+        Identifier of the run.
     """
     runs: dict[str, int] = {}
     for address in services:
@@ -94,21 +94,21 @@
     session: Session,
     number: int,
     start_s: float,
-    judgement: Judgement,
+    results: LoadResults,
 ) -> None:
     due_s = start_s + session.start_s
     for turn, call in enumerate(session.calls):
         due_s += call.pause_s
         await asyncio.sleep(max(0.0, due_s - time.monotonic()))
-        # The routers are taken in turn, as a balancer without affinity does.
+        # Round-robin, as a load balancer without affinity does.
         router = number + turn
         first = await send_call(client, target, session, turn, router, due_s)
-        judgement.take(first)
+        results.add(first)
         if call.resend:
-            await _resend(client, target, session, turn, router + 1, first, judgement)
+            await _resend(client, target, session, turn, router + 1, first, results)
         if first.outcome != "answered":
-            # The rest of the chat would only meet refusals of its order.
-            _drop_rest(session, turn + 1, judgement)
+            # The rest of the chat would be refused for a gap in its sequence numbers.
+            _skip_remaining_calls(session, turn + 1, results)
             return
         due_s = time.monotonic()
 
@@ -119,15 +119,15 @@
     session: Session,
     turn: int,
     router: int,
-    first: Received,
-    judgement: Judgement,
+    first: CallResult,
+    results: LoadResults,
 ) -> None:
     now_s = time.monotonic()
     second = await send_call(client, target, session, turn, router, now_s)
-    judgement.take_resend(first, second)
+    results.add_resend(first, second)
 
 
-def _drop_rest(session: Session, count: int, judgement: Judgement) -> None:
-    dropped = len(session.calls) - count
-    judgement.counts["calls"] += dropped
-    judgement.counts["not_sent"] += dropped
+def _skip_remaining_calls(session: Session, count: int, results: LoadResults) -> None:
+    skipped = len(session.calls) - count
+    results.counts["calls"] += skipped
+    results.counts["not_sent"] += skipped
