--- a/bench/gossip.py
+++ b/bench/gossip.py
@@ -67,7 +67,7 @@
     wire = _Wire()
     network = GossipNetwork(SEED, carry=wire.carry)
     network.start_many(routers, ZONES)
-    cold_start = network.run_until(network.agree, TICKS_MAX)
+    cold_start = network.run_until(network.has_converged, TICKS_MAX)
     cold_bytes = _per_router(wire.sent_bytes, routers, cold_start)
     network.run(STEADY_TICKS)
     wire.sent_bytes = 0
@@ -83,7 +83,7 @@
     )
     network.start("vm-0003", "zone-3", SESSION_MS + 10_000_000)
     network.publish_vms()
-    joined = network.run_until(network.agree, TICKS_MAX)
+    joined = network.run_until(network.has_converged, TICKS_MAX)
     return Figures(
         routers=routers,
         steady_bytes_per_s=round(steady_bytes),
@@ -141,7 +141,7 @@
     network.cut_zones = {"zone-1"}
     network.run(60)
     network.cut_zones = set()
-    return network.run_until(network.agree, TICKS_MAX)
+    return network.run_until(network.has_converged, TICKS_MAX)
 
 
 def measure(sizes: tuple[int, ...] = SIZES) -> dict[str, list[Figures]]:
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -22,8 +22,8 @@
     Call,
     Outcome,
     Queue,
-    drive,
     make_calls,
+    simulate_load,
 )
 
 SLOTS = 40
@@ -83,7 +83,7 @@
         for i in range(TEAMS):
             calls += make_mix(f"t{i}", load / TEAMS, 0.0, RUN_S)
         for policy, make in POLICIES.items():
-            outcomes = drive(make(), calls, SLOTS, RUN_S)
+            outcomes = simulate_load(make(), calls, SLOTS, RUN_S)
             row = summarize(outcomes, WARM_UP_S, RUN_S)
             rows.append({"measure": "load", "load": load, "policy": policy, **row})
     return rows
@@ -110,7 +110,7 @@
         calls += make_mix(team, 0.6 / TEAMS, 0.0, RUN_S)
     rows = []
     for policy, make in POLICIES.items():
-        outcomes = drive(make(), calls, SLOTS, RUN_S)
+        outcomes = simulate_load(make(), calls, SLOTS, RUN_S)
         got = []
         for team in ["t0", *quiet]:
             own = [o for o in outcomes if o.call.team == team]
@@ -133,7 +133,7 @@
         calls += make_mix(f"s{i}", 10.0 / TEAMS, 60.0, 120.0)
     rows = []
     for policy, make in POLICIES.items():
-        outcomes = drive(make(), calls, SLOTS, 900.0)
+        outcomes = simulate_load(make(), calls, SLOTS, 900.0)
         failed = [o.ended_s for o in outcomes if o.result != "answered"]
         rows.append(
             {
--- a/bench/watching.py
+++ b/bench/watching.py
@@ -6,7 +6,7 @@
 watches.
 """
 
-from tamarackrill.testing.store_fleet import PlayedFleet, PlayedStore
+from tamarackrill.testing.store_fleet import SimulatedFleet, SimulatedStore
 
 SIZES = (8, 60, 195, 370)
 PROPAGATION_MAX_S = 4.0
@@ -19,8 +19,8 @@
 
 def measure(count: int) -> list[str]:
     """Return the row of one size."""
-    fleet = PlayedFleet(
-        count, PlayedStore(CHANGES_S), PROPAGATION_MAX_S, loss=LOST_SHARE
+    fleet = SimulatedFleet(
+        count, SimulatedStore(CHANGES_S), PROPAGATION_MAX_S, loss=LOST_SHARE
     )
     fleet.run(CALM_S[0])
     fleet.bytes.clear()
@@ -38,7 +38,7 @@
         str(fleet.count_calls(KILLED_S, END_S)),
         f"{calm_bytes[-1] / calm_s:.0f}",
         f"{sum(calm_bytes) / count / calm_s:.0f}",
-        f"{max(fleet.find_delays_s()):.2f}",
+        f"{max(fleet.compute_delays_s()):.2f}",
     ]
 
 
--- a/src/tamarackrill/testing/gossip.py
+++ b/src/tamarackrill/testing/gossip.py
@@ -146,7 +146,7 @@
                 answers = self.states[to].receive(message, time_s)
                 self._queue_sends(to, answers, time_s)
 
-    def agree(self) -> bool:
+    def has_converged(self) -> bool:
         """Return whether all running routers hold the same view of all that run."""
         states = [s for n, s in self.states.items() if n not in self.frozen]
         if len({state.view for state in states}) != 1:
--- a/src/tamarackrill/testing/load.py
+++ b/src/tamarackrill/testing/load.py
@@ -154,7 +154,7 @@
         self.push(now_s + service_s, "finish", request_id)
 
 
-def drive(
+def simulate_load(
     queue: Queue,
     calls: Iterable[Call],
     slots: int,
--- a/src/tamarackrill/testing/object_store.py
+++ b/src/tamarackrill/testing/object_store.py
@@ -27,11 +27,11 @@
         Objects and history.
     status : int
         Every call is answered with it, unless 200.
-    is_deaf : bool
+    watches_hang : bool
         Watches neither report a change nor end.
     forgotten : int
         The history up to this revision is gone.
-    body_s : float
+    body_delay_s : float
         Time that the body of a list or an answered watch takes after its head.
     calls : list of str
         Paths and queries that were called.
@@ -40,16 +40,16 @@
     def __init__(self) -> None:
         self.state = PlatformState()
         self.status = 200
-        self.is_deaf = False
+        self.watches_hang = False
         self.forgotten = 0
-        self.body_s = 0.0
+        self.body_delay_s = 0.0
         self.calls: list[str] = []
 
     async def write(self, kind: str, name: str, spec: Any) -> int:
         """Write an object, or delete it; return its revision."""
         return (await self.state.write(kind, name, spec)).version
 
-    async def forget_history(self) -> None:
+    async def compact_history(self) -> None:
         """Drop the history; watches that wait are not told."""
         self.forgotten = self.state.revision
 
@@ -116,7 +116,7 @@
             self.set_status(410)
             self.finish({"store_revision": state.revision})
             return
-        if self.store.is_deaf:
+        if self.store.watches_hang:
             await asyncio.sleep(LONGEST_S)
         async with state.changed:
             try:
@@ -134,9 +134,9 @@
         await self._finish_slowly(body)
 
     async def _finish_slowly(self, body: dict[str, Any]) -> None:
-        if self.store.body_s:
+        if self.store.body_delay_s:
             await self.flush()
-            await asyncio.sleep(self.store.body_s)
+            await asyncio.sleep(self.store.body_delay_s)
         self.finish(body)
 
 
--- a/src/tamarackrill/testing/store_fleet.py
+++ b/src/tamarackrill/testing/store_fleet.py
@@ -44,7 +44,7 @@
     datagram: bytes
 
 
-class PlayedStore:
+class SimulatedStore:
     """Revisions of one object, when they were acknowledged, and who is turned away.
 
     Parameters
@@ -56,7 +56,7 @@
     def __init__(self, acked_s: Iterable[float] = ()) -> None:
         self.acked_s = list(acked_s)
         self.calls: list[tuple[float, str]] = []
-        self.turned_away: set[str] = set()
+        self.rejected_routers: set[str] = set()
         self.is_down = False
 
     def find_newest(self, now_s: float) -> int:
@@ -65,14 +65,14 @@
 
     def answers(self, name: str) -> bool:
         """Return whether a router gets an answer."""
-        return not self.is_down and name not in self.turned_away
+        return not self.is_down and name not in self.rejected_routers
 
 
-class PlayedRouter:
+class SimulatedRouter:
     """One router: stands in for what asks the store and takes what others hold."""
 
     def __init__(
-        self, fleet: "PlayedFleet", name: str, zone: str, knows_all: bool
+        self, fleet: "SimulatedFleet", name: str, zone: str, knows_all: bool
     ) -> None:
         self.name = name
         self.started_s = fleet.now_s
@@ -200,7 +200,7 @@
         self.on_answer(KIND, self.clock())
 
 
-class PlayedFleet:
+class SimulatedFleet:
     """Routers in zones, the datagrams between them, and a store.
 
     A datagram takes one step, and more to or from a router that is late.  What is sent
@@ -210,7 +210,7 @@
     ----------
     count : int
         Routers.
-    store : PlayedStore
+    store : SimulatedStore
         What they ask.
     propagation_max_s : float
         Time in which a change has to be in force.
@@ -231,7 +231,7 @@
         Routers that don't run, and whose clocks stand still.
     cut_zones : set of str
         Zones that neither send to others nor hear them.
-    late_s : dict of str to float
+    extra_latency_s : dict of str to float
         Time that each datagram to a router takes longer.
     jitter_s : float
         Longest time that any datagram takes longer, by chance; later ones overtake it.
@@ -240,7 +240,7 @@
     def __init__(
         self,
         count: int,
-        store: PlayedStore,
+        store: SimulatedStore,
         propagation_max_s: float,
         zones: int = 6,
         knows_all: bool = True,
@@ -252,11 +252,11 @@
         self.propagation_max_s = propagation_max_s
         self.names = [f"router-{number:03d}" for number in range(count)]
         self.contacts = self.names[:CONTACTS]
-        self.routers: dict[str, PlayedRouter] = {}
+        self.routers: dict[str, SimulatedRouter] = {}
         self.frozen: set[str] = set()
         self.suspended: set[str] = set()
         self.cut_zones: set[str] = set()
-        self.late_s: dict[str, float] = {}
+        self.extra_latency_s: dict[str, float] = {}
         self.jitter_s = 0.0
         self.bytes: Counter[str] = Counter()
         self._zones = {n: f"zone-{i % zones}" for i, n in enumerate(self.names)}
@@ -266,7 +266,7 @@
         self._learns_s: dict[str, float] = {}
         self._queue: list[_Sent] = []
         for name in self.names:
-            router = PlayedRouter(self, name, self._zones[name], knows_all)
+            router = SimulatedRouter(self, name, self._zones[name], knows_all)
             self.routers[name] = router
             if knows_all:
                 router.learn(self._describe_all())
@@ -304,7 +304,7 @@
             self.bytes[who] += HEADERS_BYTES + len(datagram)
         if self._random.random() < self._loss or not self._has_path(name, address):
             return
-        due_s = self.now_s + self.late_s.get(address, 0.0)
+        due_s = self.now_s + self.extra_latency_s.get(address, 0.0)
         if self.jitter_s:
             due_s += self._random.uniform(0.0, self.jitter_s)
         self._queue.append(_Sent(due_s, name, address, datagram))
@@ -330,7 +330,7 @@
                 router = self.routers[item.address]
                 router.news.take_datagram(item.datagram, item.sender)
 
-    def _learn_if_due(self, name: str, router: PlayedRouter) -> None:
+    def _learn_if_due(self, name: str, router: SimulatedRouter) -> None:
         if self.now_s >= self._learns_s.get(name, math.inf):
             del self._learns_s[name]
             router.learn(self._describe_all())
@@ -342,7 +342,7 @@
         """Return the calls to the store within a time."""
         return sum(from_s <= at_s < until_s for at_s, _ in self.store.calls)
 
-    def find_delays_s(self, names: Sequence[str] | None = None) -> list[float]:
+    def compute_delays_s(self, names: Sequence[str] | None = None) -> list[float]:
         """Return how long each version took to each router, from its acknowledgement.
 
         A router that was started later has as long from its start; a version that was
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 from tamarackrill.decisions.admission import AdmissionQueue, Start
 from tamarackrill.decisions.estimates import compute_cost, is_short
 from tamarackrill.decisions.waiting import WaitingRequest
-from tamarackrill.testing.load import SLOT_TOKENS_PER_S, drive, make_calls
+from tamarackrill.testing.load import SLOT_TOKENS_PER_S, make_calls, simulate_load
 
 SLOTS = 16
 LONG_TOKENS = 200
@@ -63,7 +63,7 @@
     # or a late one.
     steady = make_calls("t", 0.5 * CAPACITY_PER_S, 0, 90, LONG_TOKENS, 20)
     burst = make_calls("t", 20 * CAPACITY_PER_S, 60, 61, LONG_TOKENS, 20)
-    outcomes = drive(AdmissionQueue(512), steady + burst, SLOTS, 120)
+    outcomes = simulate_load(AdmissionQueue(512), steady + burst, SLOTS, 120)
     results = count(outcomes)
     assert results["timeout"] <= 0.01 * len(outcomes)
     assert results["deadline_unmeetable"] > 5
@@ -81,7 +81,7 @@
     surge = make_calls(
         "t", load * CAPACITY_PER_S, 60, 120, LONG_TOKENS, 20, seed=2, retries=5
     )
-    outcomes = drive(AdmissionQueue(512), steady + surge, SLOTS, 600)
+    outcomes = simulate_load(AdmissionQueue(512), steady + surge, SLOTS, 600)
     full = [o for o in outcomes if 80 <= o.ended_s < 340]
     assert count(full)["answered"] >= 0.9 * 260 * CAPACITY_PER_S
     after = count(outcomes, since_s=500)
@@ -95,7 +95,7 @@
     quiet = [f"quiet{i}" for i in range(4)]
     for team in quiet:
         calls += make_calls(team, 0.1 * CAPACITY_PER_S, 0, 120, LONG_TOKENS, 20)
-    outcomes = drive(AdmissionQueue(64), calls, SLOTS, 140)
+    outcomes = simulate_load(AdmissionQueue(64), calls, SLOTS, 140)
     for team in quiet:
         results = count(outcomes, team)
         assert results["answered"] == results.total() > 15
@@ -115,7 +115,7 @@
         calls += make_calls(
             team, 2 * CAPACITY_PER_S, 0, 200, LONG_TOKENS, 20, weight=weight
         )
-    outcomes = drive(AdmissionQueue(512), calls, SLOTS, 220)
+    outcomes = simulate_load(AdmissionQueue(512), calls, SLOTS, 220)
     done = [count(outcomes, team, since_s=20)["answered"] for team in "ab"]
     assert done[1] / done[0] == pytest.approx(weights[1] / weights[0], rel=0.15)
 
@@ -125,7 +125,7 @@
     # slots reserved for short requests, a lookup waits for a draft to end.
     calls = make_calls("desk", 1.5 * CAPACITY_PER_S, 0, 120, LONG_TOKENS, 30)
     calls += make_calls("counter", 1.0, 5, 120, 0, 2)
-    outcomes = drive(AdmissionQueue(512), calls, SLOTS, 150)
+    outcomes = simulate_load(AdmissionQueue(512), calls, SLOTS, 150)
     results = count(outcomes, "counter")
     assert results["answered"] >= 0.97 * results.total()
     waits = list_waits(outcomes, "answered", short=True)
@@ -139,7 +139,7 @@
     drafts_per_s = SLOTS * SLOT_TOKENS_PER_S / compute_cost(400)
     calls = make_calls("t", lookups_per_s, 0, 150, 20, 5)
     calls += make_calls("t", drafts_per_s, 0, 150, 400, 40)
-    outcomes = drive(AdmissionQueue(512), calls, SLOTS, 180)
+    outcomes = simulate_load(AdmissionQueue(512), calls, SLOTS, 180)
     assert count(outcomes, short=False)["answered"] >= 0.2 * 150 * drafts_per_s
     assert count(outcomes, short=True)["answered"] >= 0.06 * 150 * lookups_per_s
 
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -691,11 +691,11 @@
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
-        fleet.store.is_deaf = True
+        fleet.store.watches_hang = True
         watches = len(fleet.store.calls)
         await fleet.wait(lambda: len(fleet.store.calls) >= watches + 2)
         await fleet.put_manifest(2, LOOKUP)
-        await fleet.store.forget_history()
+        await fleet.store.compact_history()
         await fleet.wait(lambda: router.view.routes.manifest.version == 2)
         assert (await ask(router, "/open/a")).status == 404
 
@@ -709,7 +709,7 @@
     async def act(fleet):
         await fleet.add_worker("w1")
         router = await fleet.add_router()
-        fleet.store.body_s = 1.2
+        fleet.store.body_delay_s = 1.2
         await fleet.put_manifest(2, *ROUTES, make_route("/new/", "idempotent"))
         await fleet.wait(lambda: router.view.routes.manifest.version == 2)
         assert (await ask(router, "/new/a")).status == 200
--- a/tests/test_late_news.py
+++ b/tests/test_late_news.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tamarackrill.decisions.watching import SETTLE_S
-from tamarackrill.testing.store_fleet import PlayedFleet, PlayedStore
+from tamarackrill.testing.store_fleet import SimulatedFleet, SimulatedStore
 
 PROPAGATION_MAX_S = 4.0
 ZONES = 3
@@ -12,11 +12,11 @@
 
 
 def make_fleet(acked_s):
-    return PlayedFleet(ROUTERS, PlayedStore(acked_s), PROPAGATION_MAX_S, ZONES)
+    return SimulatedFleet(ROUTERS, SimulatedStore(acked_s), PROPAGATION_MAX_S, ZONES)
 
 
 def check_in_force(fleet):
-    assert max(fleet.find_delays_s()) <= PROPAGATION_MAX_S
+    assert max(fleet.compute_delays_s()) <= PROPAGATION_MAX_S
 
 
 # Spread over one watch of the store, so that the evidence has different ages.
@@ -35,11 +35,13 @@
 
 
 @pytest.mark.parametrize("at_s", FAILURE_TIMES_S)
-@pytest.mark.parametrize("late_s", [0.0, 0.5, 1.0, 1.5, 3.0])
-def test_routers_that_receive_every_datagram_late_apply_changes_in_time(late_s, at_s):
+@pytest.mark.parametrize("extra_latency_s", [0.0, 0.5, 1.0, 1.5, 3.0])
+def test_routers_that_receive_every_datagram_late_apply_changes_in_time(
+    extra_latency_s, at_s
+):
     # Guards against evidence that was delayed in transit and is treated as new.
     fleet = make_fleet([at_s + 0.02])
-    fleet.late_s = dict.fromkeys(find_late(fleet), late_s)
+    fleet.extra_latency_s = dict.fromkeys(find_late(fleet), extra_latency_s)
     kill_watcher_and_heads(fleet, at_s)
     fleet.run(at_s + 6.0)
     check_in_force(fleet)
@@ -50,7 +52,7 @@
     # Guards against applying the transit time of an idle link to a congested one.
     fleet = make_fleet([at_s + 0.02])
     fleet.run(at_s - 3.0)
-    fleet.late_s = dict.fromkeys(find_late(fleet), 2.0)
+    fleet.extra_latency_s = dict.fromkeys(find_late(fleet), 2.0)
     kill_watcher_and_heads(fleet, at_s)
     fleet.run(at_s + 6.0)
     check_in_force(fleet)
@@ -100,6 +102,6 @@
 def test_delays_cause_no_extra_calls_without_changes(count):
     # Guards against routers that query the store because they don't know the transit
     # times of the evidence that they receive.
-    fleet = PlayedFleet(count, PlayedStore(), PROPAGATION_MAX_S)
+    fleet = SimulatedFleet(count, SimulatedStore(), PROPAGATION_MAX_S)
     fleet.run(65.0)
     assert fleet.count_calls(5.0, 65.0) <= 60 / (PROPAGATION_MAX_S / 2) + 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -27,7 +27,7 @@
 def network(request):
     network = GossipNetwork(request.param)
     network.start_many(ROUTERS, 3)
-    network.run_until(network.agree, TICKS_MAX)
+    network.run_until(network.has_converged, TICKS_MAX)
     network.changes.clear()
     return network
 
@@ -45,7 +45,7 @@
     # would still be forwarded there, and each would wait for a timeout.
     network.kill(TARGET)
     network.run_until(lambda: is_gone(network, TARGET), TICKS_MAX)
-    network.run_until(network.agree, TICKS_MAX)
+    network.run_until(network.has_converged, TICKS_MAX)
 
 
 def test_stale_vm_list_removes_no_reachable_router(network):
@@ -53,9 +53,9 @@
     # would move all their chats at once and lose their caches.
     for state in network.states.values():
         state.update_vm_list([Vm(TARGET, TARGET, "zone-2", peer_address=TARGET)])
-    assert network.agree()
+    assert network.has_converged()
     network.run(20)
-    assert network.agree()
+    assert network.has_converged()
 
 
 def test_vm_listed_as_leaving_gets_no_new_work(network):
@@ -71,7 +71,7 @@
     # they were removed, chats would move to other routers every minute.
     network = GossipNetwork(1, loss=0.05)
     network.start_many(ROUTERS, 3)
-    network.run_until(network.agree, TICKS_MAX)
+    network.run_until(network.has_converged, TICKS_MAX)
     network.changes.clear()
     network.run(200)
     states = [change.record.state for change in network.changes]
@@ -105,7 +105,7 @@
     network.run_until(lambda: is_gone(network, TARGET), TICKS_MAX)
     network.changes.clear()
     network.wake(TARGET)
-    network.run_until(network.agree, TICKS_MAX)
+    network.run_until(network.has_converged, TICKS_MAX)
     suspected = {
         c.record.name for c in network.changes if c.record.state.name != "ALIVE"
     }
@@ -140,7 +140,7 @@
 
     network.run_until(is_split, TICKS_MAX)
     network.cut_zones = set()
-    network.run_until(network.agree, TICKS_MAX)
+    network.run_until(network.has_converged, TICKS_MAX)
 
 
 def test_router_of_the_same_name_replaces_its_predecessor(network):
@@ -151,7 +151,7 @@
     network.kill(TARGET)
     new = network.start(TARGET, "zone-2", session_ms=old.own.incarnation + 60_000)
     network.publish_vms()
-    network.run_until(network.agree, TICKS_MAX)
+    network.run_until(network.has_converged, TICKS_MAX)
     observer = network.states["vm-0000"]
     message = next(action.message for action in late if isinstance(action, Send))
     assert observer.receive(message, network.now_s) == [StaleMessageDropped(TARGET)]
--- a/tests/test_store_news.py
+++ b/tests/test_store_news.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from tamarackrill.testing.store_fleet import PlayedFleet, PlayedStore
+from tamarackrill.testing.store_fleet import SimulatedFleet, SimulatedStore
 
 PROPAGATION_MAX_S = 4.0
 
 
 def make_fleet(count, acked_s=(), **fields):
-    return PlayedFleet(count, PlayedStore(acked_s), PROPAGATION_MAX_S, **fields)
+    return SimulatedFleet(count, SimulatedStore(acked_s), PROPAGATION_MAX_S, **fields)
 
 
 def check_in_force(fleet, names=None):
-    assert max(fleet.find_delays_s(names)) <= PROPAGATION_MAX_S
+    assert max(fleet.compute_delays_s(names)) <= PROPAGATION_MAX_S
 
 
 # One watcher's calls, and as many again for those who ask when its word is late.
@@ -33,7 +33,7 @@
     # Guards against a router that holds a change and does not pass it on at once.
     fleet = make_fleet(count, [10.0 + 0.9 * n for n in range(10)])
     fleet.run(24.0)
-    assert max(fleet.find_delays_s()) <= PROPAGATION_MAX_S / 4
+    assert max(fleet.compute_delays_s()) <= PROPAGATION_MAX_S / 4
 
 
 @pytest.mark.parametrize("count", [8, 76, 195, 370])
@@ -105,10 +105,10 @@
     # fleet hears of nothing.
     fleet = make_fleet(76, [12.0 + 0.7 * n for n in range(12)])
     fleet.run(11.5)
-    fleet.store.turned_away = set(fleet.find(lambda w: w.is_watcher))
+    fleet.store.rejected_routers = set(fleet.find(lambda w: w.is_watcher))
     fleet.run(26.0)
     check_in_force(fleet)
-    (refused,) = fleet.store.turned_away
+    (refused,) = fleet.store.rejected_routers
     tries = sum(name == refused and at_s > 15.0 for at_s, name in fleet.store.calls)
     assert tries <= 6
 
@@ -119,7 +119,7 @@
     fleet.run(11.5)
     told = fleet.find(lambda watching: watching.is_watcher or watching.is_head)
     served = next(name for name in fleet.names if name not in told)
-    fleet.store.turned_away = set(fleet.names) - {served}
+    fleet.store.rejected_routers = set(fleet.names) - {served}
     fleet.run(24.0)
     check_in_force(fleet)
 
@@ -129,10 +129,10 @@
     # Guards against a third of the fleet that asks again for as long as it is refused.
     fleet = make_fleet(195, [12.0 + 1.4 * n for n in range(6)])
     fleet.run(11.5)
-    fleet.store.turned_away = set(fleet.names[: int(share * len(fleet.names))])
+    fleet.store.rejected_routers = set(fleet.names[: int(share * len(fleet.names))])
     fleet.run(22.0)
     check_in_force(fleet)
-    assert fleet.count_calls(12.0, 22.0) <= 0.2 * 10 * len(fleet.store.turned_away)
+    assert fleet.count_calls(12.0, 22.0) <= 0.2 * 10 * len(fleet.store.rejected_routers)
 
 
 def test_store_that_is_down_is_not_asked_by_all_all_the_time():
