--- a/src/tamarackrill/testing/gossip.py
+++ b/src/tamarackrill/testing/gossip.py
@@ -1,8 +1,8 @@
-"""Many membership states in one process, for tests and benchmarks.
+"""Simulated gossip network of many routers in one process, for tests and benchmarks.
 
-The states are those of the daemon; only the network between them is replaced.  A
-message arrives at once, which is right as long as a network is much faster than a
-tick; what a network does wrong here is to lose, cut and hold messages.
+The membership states are the daemon's; only the network is simulated.  Messages arrive
+at once, which is realistic as long as the network is much faster than a tick.  The
+faults are lost messages, partitioned zones and frozen routers.
 """
 
 from collections import deque
@@ -22,14 +22,14 @@
 )
 
 SESSION_MS = 1_700_000_000_000
-# About what a socket's receive buffer holds for a process that does not run.
-HELD_MAX = 200
-# What was heard last; a message is a few hundred bytes of state.
-HEARD_MAX = 10_000
+# Roughly the capacity of the socket receive buffer of a process that does not run.
+HELD_MESSAGES_MAX = 200
+# Bounds memory: each received peer state takes a few hundred bytes.
+HEARD_STATES_MAX = 10_000
 
 
 class Change(NamedTuple):
-    """A change of one router's view."""
+    """A change in one router's membership view."""
 
     time_s: float
     seen_by: str
@@ -37,17 +37,17 @@
 
 
 class GossipNetwork:
-    """Membership states and the network between them.
+    """Membership states of routers and the simulated network between them.
 
     Parameters
     ----------
     seed : int
-        Of all that is random.
+        Seed of the message loss, tick order and peer selection.
     loss : float, default=0
-        Share of messages that are lost.
+        Fraction of messages that are lost.
     carry : callable, optional
-        Takes each message and returns what arrives, such as an encoded and decoded
-        copy.
+        Converts each sent message into the one received, for example by encoding and
+        decoding it.
     """
 
     def __init__(
@@ -77,13 +77,13 @@
         return self.states[name]
 
     def start_many(self, count: int, zones: int) -> None:
-        """Start routers that know of all others by the VM list."""
+        """Start routers that know all others from the VM list."""
         for index in range(count):
             self.start(f"vm-{index:04d}", f"zone-{index % zones}")
         self.publish_vms()
 
     def publish_vms(self) -> None:
-        """Give every router the VM list of all that run."""
+        """Give every router the VM list of all running routers."""
         vms = [
             Vm(name, name, state.own.zone, peer_address=name)
             for name, state in self.states.items()
@@ -92,12 +92,12 @@
             state.update_vm_list(vms)
 
     def freeze(self, name: str) -> None:
-        """Stop a router from running; what it is sent is held for it."""
+        """Stop a router from running; messages to it are buffered."""
         self.frozen.add(name)
         self._held[name] = []
 
     def wake(self, name: str) -> None:
-        """Let a frozen router run again; it first reads what was held."""
+        """Let a frozen router run again and receive its buffered messages."""
         self.frozen.discard(name)
         for message in self._held.pop(name):
             self._queue.append((name, message))
@@ -107,7 +107,7 @@
         del self.states[name]
 
     def run(self, ticks: int) -> None:
-        """Let all routers tick, in an order that changes each time."""
+        """Run ticks of all routers, each tick in a random order."""
         for _ in range(ticks):
             names = list(self.states)
             self._random.shuffle(names)
@@ -116,17 +116,17 @@
                 if name not in self.frozen:
                     state = self.states[name]
                     self.act(name, state.tick(now_s, self.pick), now_s)
-            del self.heard[:-HEARD_MAX]
+            del self.heard[:-HEARD_STATES_MAX]
             self.now_s += TICK_S
 
     def run_until(self, condition: Callable[[], bool], ticks_max: int) -> int:
-        """Run until the condition holds; return the ticks that it took."""
+        """Run until the condition holds; return the number of ticks taken."""
         for ticks in range(ticks_max):
             if condition():
                 return ticks
             self.run(1)
         if not condition():
-            raise AssertionError(f"did not come about within {ticks_max} ticks")
+            raise AssertionError(f"condition not met within {ticks_max} ticks")
         return ticks_max
 
     def pick(self, count: int) -> int:
@@ -134,20 +134,20 @@
         return self._random.randrange(count)
 
     def act(self, name: str, actions: list[Action], now_s: float | None = None) -> None:
-        """Carry out what a router decided, and what follows from it."""
+        """Execute a router's actions and deliver the messages that result."""
         time_s = self.now_s if now_s is None else now_s
         self._queue_sends(name, actions, time_s)
         while self._queue:
             to, message = self._queue.popleft()
             if to in self.frozen:
-                if len(self._held[to]) < HELD_MAX:
+                if len(self._held[to]) < HELD_MESSAGES_MAX:
                     self._held[to].append(message)
             elif to in self.states:
                 answers = self.states[to].receive(message, time_s)
                 self._queue_sends(to, answers, time_s)
 
     def has_converged(self) -> bool:
-        """Return whether all running routers hold the same view of all that run."""
+        """Return whether all running routers share one view of just these routers."""
         states = [s for n, s in self.states.items() if n not in self.frozen]
         if len({state.view for state in states}) != 1:
             return False
@@ -156,7 +156,7 @@
         }
 
     def list_seen(self, name: str) -> dict[str, MemberState | None]:
-        """Return the state in which each other running router sees one."""
+        """Return the state of a router as seen by each other running router."""
         seen: dict[str, MemberState | None] = {}
         for observer, state in self.states.items():
             if observer != name and observer not in self.frozen:
@@ -172,11 +172,11 @@
                 self.heard.append((name, action))
             elif isinstance(action, Send):
                 self.sent_bytes[name] += action.estimated_bytes
-                if self._passes(name, action.peer_address):
+                if self._is_delivered(name, action.peer_address):
                     carried = self._carry(action.message)
                     self._queue.append((action.peer_address, carried))
 
-    def _passes(self, name: str, to: str) -> bool:
+    def _is_delivered(self, name: str, to: str) -> bool:
         if to not in self.states or self._random.random() < self._loss:
             return False
         zones = {self.states[name].own.zone, self.states[to].own.zone}
--- a/src/tamarackrill/testing/load.py
+++ b/src/tamarackrill/testing/load.py
@@ -1,7 +1,7 @@
-"""Callers and slots in simulated time, to drive an admission queue in one process.
+"""Load simulation for an admission queue, in virtual time and one process.
 
-It stands in for what lies around the queue of one router: callers with deadlines
-that may try again, and slots of one endpoint pool.  Nothing here decides anything.
+It simulates the environment of one router's queue: callers with deadlines and retries,
+and the slots of one endpoint pool.  All admission decisions are the queue's.
 """
 
 import heapq
@@ -19,26 +19,26 @@
 
 
 class Queue(Protocol):
-    """What `AdmissionQueue` and the baselines of the benchmarks have in common."""
+    """Interface shared by `AdmissionQueue` and the baselines of the benchmarks."""
 
     def offer(self, request: WaitingRequest, now_s: float) -> list[Refuse]:
         """Queue or refuse a request."""
 
     def dispatch(self, pool_name: str, slots_free: int, now_s: float) -> list[Action]:
-        """Start requests."""
+        """Start waiting requests in free slots."""
 
     def release(self, request_id: str, now_s: float) -> None:
-        """Take note of a finished request."""
+        """Record that a request has finished."""
 
     def expire(self, now_s: float) -> list[Refuse]:
-        """Refuse what is late."""
+        """Refuse requests that cannot meet their deadlines."""
 
     def cancel(self, request_id: str) -> bool:
-        """Forget a waiting request."""
+        """Remove a waiting request."""
 
 
 class Call(NamedTuple):
-    """What one caller wants."""
+    """One call: its request, deadline and retries."""
 
     team: str
     arrives_s: float
@@ -50,18 +50,18 @@
 
 
 class Outcome(NamedTuple):
-    """How one attempt of a call ended for its caller.
+    """Result of one attempt of a call, as its caller sees it.
 
     Parameters
     ----------
     call : Call
-        What was wanted.
+        The call that was attempted.
     attempt : int
-        0 for the first.
+        Number of the attempt, from 0.
     result : str
         ``"answered"`` (in time), ``"timeout"`` or the code of a refusal.
     sent_s, ended_s : float
-        When the caller sent it, and when the caller knew the result.
+        When the caller sent the attempt, and when it got the result.
     """
 
     call: Call
@@ -77,7 +77,7 @@
     sent_s: float
 
 
-class _Run:
+class _Simulation:
     def __init__(self, queue: Queue, slots: int, seed: int, spread: float) -> None:
         self.queue = queue
         self.free = slots
@@ -148,7 +148,7 @@
         if request_id in self.attempts:
             size_tokens = self.attempts[request_id].call.size_tokens
         else:
-            size_tokens = 0.0  # the caller has gone; a baseline starts it all the same
+            size_tokens = 0.0  # a baseline may start a request that timed out
         service_s = compute_cost(size_tokens) / SLOT_TOKENS_PER_S
         service_s *= 1.0 + self.random.uniform(-self.spread, self.spread)
         self.push(now_s + service_s, "finish", request_id)
@@ -162,42 +162,42 @@
     seed: int = 1,
     spread: float = 0.2,
 ) -> list[Outcome]:
-    """Play `calls` against `queue` and return how each attempt ended.
+    """Simulate `calls` against `queue` and return the outcome of each attempt.
 
     Parameters
     ----------
     queue : Queue
-        State under test; it is changed.
+        Queue under test; it is modified.
     calls : iterable of Call
-        What the callers want.  A caller that is refused comes back after
-        Retry-After, one that ran into its deadline at once, `Call.retries` times.
+        Calls to make.  Up to `Call.retries` times, a caller retries: after Retry-After
+        if it was refused, at once if it timed out.
     slots : int
-        Requests that the pool works on at once.
+        Requests that the pool processes concurrently.
     until_s : float
         When the callers stop and the run ends.
     seed : int, default=1
         Seed of the service times.
     spread : float, default=0.2
-        Service times vary by this share, evenly.
+        Service times vary uniformly by up to this fraction.
 
     Returns
     -------
     list of Outcome
-        In order of time; attempts open at `until_s` are left out.
+        In order of time, without the attempts still open at `until_s`.
     """
-    run = _Run(queue, slots, seed, spread)
+    simulation = _Simulation(queue, slots, seed, spread)
     for call in calls:
-        run.send(call, 0, call.arrives_s)
-    run.push(TICK_S, "tick", "")
-    while run.events and run.events[0][0] <= until_s:
-        now_s, _, kind, request_id = heapq.heappop(run.events)
+        simulation.send(call, 0, call.arrives_s)
+    simulation.push(TICK_S, "tick", "")
+    while simulation.events and simulation.events[0][0] <= until_s:
+        now_s, _, kind, request_id = heapq.heappop(simulation.events)
         if kind == "tick":
-            run.apply(queue.expire(now_s), now_s)
-            run.push(now_s + TICK_S, "tick", "")
+            simulation.apply(queue.expire(now_s), now_s)
+            simulation.push(now_s + TICK_S, "tick", "")
         else:
-            getattr(run, kind)(request_id, now_s)
-        run.apply(queue.dispatch(POOL, run.free, now_s), now_s)
-    return run.outcomes
+            getattr(simulation, kind)(request_id, now_s)
+        simulation.apply(queue.dispatch(POOL, simulation.free, now_s), now_s)
+    return simulation.outcomes
 
 
 def make_calls(
@@ -211,7 +211,7 @@
     weight: float = 1.0,
     retries: int = 0,
 ) -> list[Call]:
-    """Return calls of one team with random (Poisson) arrivals."""
+    """Return calls of one team with Poisson arrivals."""
     source = random.Random(f"{team}/{size_tokens}/{seed}")
     calls = []
     at_s = from_s + source.expovariate(rate_per_s)
--- a/src/tamarackrill/testing/ports.py
+++ b/src/tamarackrill/testing/ports.py
@@ -1,55 +1,55 @@
-"""Ports of loopback for processes that a test starts, and starts again."""
+"""Loopback ports for processes that a test starts and restarts."""
 
 import random
 import socket
 
-# The kernel gives connections that go out local ports from 32768 on, and may give one
-# the port of a router that is just being restarted: its listener then fails to bind,
-# and the router is never ready.  Ports below are taken only by who names them.
+# The kernel assigns outgoing connections local ports from 32768 on.  It could assign
+# the port of a router that is being restarted, whose listener then fails to bind, so
+# that the router never gets ready.  Lower ports are used only on explicit request.
 FIRST_PORT = 12_000
-PORTS = 10_000
-# Test processes run beside each other.  Whoever was given a port holds this one above
-# it until its own end, so that no other is given the same.
-GUARD_OFFSET = PORTS
+PORT_COUNT = 10_000
+# Test processes run concurrently.  A process that gets a port keeps the port at this
+# offset above it bound until it exits, so that no other process gets the same one.
+GUARD_OFFSET = PORT_COUNT
 TRIES_MAX = 1_000
 
-_guards: list[socket.socket] = []
+_guard_sockets: list[socket.socket] = []
 
 
 def find_free_port(chance: random.Random | None = None) -> int:
-    """Return a port of loopback that is free, for TCP and UDP alike.
+    """Return a loopback port that is free for both TCP and UDP.
 
     Parameters
     ----------
     chance : random.Random, optional
-        Where the search begins.
+        Source of the candidate ports.
 
     Returns
     -------
     int
-        No other call returns it, in any process, while this process lives.
+        Free port; no other call in any process returns it while this process lives.
 
     Raises
     ------
     OSError
-        If none was found.
+        If no free port was found.
     """
     chance = chance or random.Random()
     for _ in range(TRIES_MAX):
-        port = FIRST_PORT + chance.randrange(PORTS)
-        if _hold(port + GUARD_OFFSET) and _is_free(port):
+        port = FIRST_PORT + chance.randrange(PORT_COUNT)
+        if _reserve(port + GUARD_OFFSET) and _is_free(port):
             return port
     raise OSError(f"no free port found in {TRIES_MAX} tries")
 
 
-def _hold(port: int) -> bool:
-    guard = socket.socket()
+def _reserve(port: int) -> bool:
+    guard_socket = socket.socket()
     try:
-        guard.bind(("127.0.0.1", port))
+        guard_socket.bind(("127.0.0.1", port))
     except OSError:
-        guard.close()
+        guard_socket.close()
         return False
-    _guards.append(guard)
+    _guard_sockets.append(guard_socket)
     return True
 
 
