--- a/src/tamarackrill/testing/engine.py
+++ b/src/tamarackrill/testing/engine.py
@@ -1,19 +1,18 @@
-"""Stand-in for a model engine.
+"""Simulated model engine.
 
-It batches continuously (one token of each running request a step), caches prompt
-prefixes of chats in limited memory, honours priority, resumes and cancels streams,
-publishes cache events late and with gaps, reports its load with a lag and takes
-orders with a fencing number.
+It batches continuously (one token of each running request per step), caches the prompt
+prefixes of a limited number of chats, resumes and cancels streams, publishes cache
+events, reports its load and executes orders that carry a fencing number.
 
 ====== ========================== ===========================================
-POST   /v1/chat/completions       whole or ``stream``; ``Request-Id``,
-                                  ``Priority``, ``Chat-Id``, ``Last-Event-ID``
-POST   /v1/cancel/<request id>    stops a request
-GET    /v1/load                   running, waiting and the time of the report
-GET    /v1/cache_events           ``since``; late and with gaps
-POST   /v1/orders                 an order with its fencing number
-GET    /admin/state               arrivals, cancelled, orders, cached chats
-PUT    /admin/faults              replaces `EngineFaults`, field by field
+POST   /v1/chat/completions       whole or with ``stream``; headers ``Request-Id``,
+                                  ``Chat-Id``, ``Last-Event-ID``
+POST   /v1/cancel/<request id>    cancels a request
+GET    /v1/load                   number of running requests
+GET    /v1/cache_events           cache events after number ``since``
+POST   /v1/orders                 loads a model, unless the fencing number is old
+GET    /admin/state               arrivals, cancelled, orders, cached chats, running
+PUT    /admin/faults              replaces all fields of `EngineFaults`
 ====== ========================== ===========================================
 """
 
@@ -28,25 +27,26 @@
 from tornado.web import Application, HTTPError, RequestHandler
 
 CRASH_WORD = "crash-the-engine"
-STREAMS_KEPT = 1000
+STREAMS_MAX = 1000
 RESUME_GRACE_S = 5.0
 
 
 class EngineFaults(NamedTuple):
-    """What goes wrong at the stand-in.
+    """Faults that the engine injects.
 
     Parameters
     ----------
     hold : bool
-        Requests arrive and wait until the fault is lifted.
+        Requests are counted as arrived and wait until the fault is cleared.
     status : int
-        If not 0, every request is answered with this status.
+        Status of every response; 0 injects no fault.
     cut_after_tokens : int
-        If not 0, the connection closes after so many tokens of an answer.
+        Tokens after which the connection is closed; 0 injects no fault.  A response
+        that isn't a stream is cut in half.
     extra_step_s : float
-        Added to every step.
+        Time added to every step.
     ignore_fencing : bool
-        Orders with an old fencing number are taken too.
+        Whether orders with an old fencing number are accepted.
     """
 
     hold: bool = False
@@ -57,7 +57,7 @@
 
 
 class Stream(NamedTuple):
-    """Tokens of one request, and whether it is over."""
+    """Tokens generated for one request, and whether it has ended."""
 
     tokens: list[str]
     finished: asyncio.Event
@@ -72,15 +72,15 @@
     name : str
         Name of the endpoint.
     slots : int
-        Requests in one batch; more wait.
+        Maximum batch size; further requests wait.
     step_s, prefill_token_s : float
-        Time of one step, and of one uncached prompt token.
+        Duration of one step, and of the prefill of one uncached prompt token.
     cache_chats : int
-        Chats whose prefix fits into memory.
+        Number of chats whose prefixes fit into the cache.
     crash : callable
-        Called when a request contains `CRASH_WORD`.
+        Called when the last message of a request contains `CRASH_WORD`.
     on_loaded : callable, optional
-        Called with the models served once an order to load one was carried out.
+        Called with the models served after an order to load a model was executed.
     serves : tuple of str
         Models loaded at the start.
     """
@@ -118,7 +118,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def cancel(self, request_id: str) -> bool:
-        """Stop a request; returns whether it was running."""
+        """Cancel a request; return whether it was unfinished."""
         stream = self.streams.get(request_id)
         if stream is None or stream.finished.is_set() or stream.cancelled.is_set():
             return False
@@ -127,19 +127,21 @@
         return True
 
     async def cancel_later(self, request_id: str) -> None:
-        """Stop a request whose reader went away, unless one comes back."""
+        """Cancel a request after `RESUME_GRACE_S` unless a client resumes it."""
         self.readers[request_id] -= 1
         await asyncio.sleep(RESUME_GRACE_S)
         if not self.readers[request_id]:
             self.cancel(request_id)
 
-    def find_stream(self, request_id: str, body: dict[str, Any], chat: str) -> Stream:
-        """Return the stream of a request; starts it if there is none."""
+    def get_or_start_stream(
+        self, request_id: str, body: dict[str, Any], chat: str
+    ) -> Stream:
+        """Return the stream of a request, started if there is none."""
         stream = self.streams.get(request_id)
         if stream is None:
             stream = Stream([], asyncio.Event(), asyncio.Event())
             self.streams[request_id] = stream
-            while len(self.streams) > STREAMS_KEPT:
+            while len(self.streams) > STREAMS_MAX:
                 self.streams.popitem(last=False)
             task = asyncio.create_task(self._generate(stream, body, chat))
             self.tasks.add(task)
@@ -151,7 +153,7 @@
             self.running += 1
             try:
                 await self._prefill(body, chat)
-                words = _answer_words(body)
+                words = _make_answer_tokens(body)
                 for word in words:
                     if stream.cancelled.is_set():
                         break
@@ -165,12 +167,12 @@
         length = sum(len(str(m["content"]).split()) for m in body["messages"])
         cached = self.cache.pop(chat, 0) if chat else 0
         if chat:
-            self._remember(chat, length)
+            self._cache_prefix(chat, length)
         uncached = max(0, length - cached)
         if self.prefill_token_s:
             await asyncio.sleep(uncached * self.prefill_token_s)
 
-    def _remember(self, chat: str, length: int) -> None:
+    def _cache_prefix(self, chat: str, length: int) -> None:
         self.cache[chat] = length
         self._publish("stored", chat)
         while len(self.cache) > self.cache_chats:
@@ -182,7 +184,7 @@
         self.cache_events.append({"number": number, "event": what, "chat": chat})
 
     async def take_order(self, order: dict[str, Any]) -> bool:
-        """Take an order unless its fencing number is old."""
+        """Execute an order unless its fencing number is old; return whether it was."""
         if order["fence"] < self.fence and not self.faults.ignore_fencing:
             return False
         self.fence = max(self.fence, order["fence"])
@@ -194,7 +196,7 @@
         return True
 
     def describe(self) -> dict[str, Any]:
-        """Return what the tests look at."""
+        """Return the state that tests inspect."""
         return {
             "arrivals": dict(self.arrivals),
             "cancelled": self.cancelled,
@@ -204,7 +206,7 @@
         }
 
 
-def _answer_words(body: dict[str, Any]) -> list[str]:
+def _make_answer_tokens(body: dict[str, Any]) -> list[str]:
     prompt = str(body["messages"][-1]["content"]).split() or ["nothing"]
     count = int(body.get("max_tokens", 16))
     return [prompt[i % len(prompt)] for i in range(count)]
@@ -230,12 +232,12 @@
             return
         chat = self.request.headers.get("Chat-Id", "")
         self._request_id = request_id
-        # Another engine's stream can't be resumed here: a model that samples would
-        # go on with the rest of a different answer.
+        # A stream of another engine can't be resumed here: with sampling, this engine
+        # would continue a different answer.
         resumed = self.request.headers.get("Last-Event-ID", "0") != "0"
         if resumed and request_id not in self.state.streams:
             raise HTTPError(404)
-        stream = self.state.find_stream(request_id, body, chat)
+        stream = self.state.get_or_start_stream(request_id, body, chat)
         self.state.readers[request_id] += 1
         self._counted = True
         with contextlib.suppress(StreamClosedError):
@@ -325,7 +327,7 @@
 
 
 def make_engine(state: EngineState) -> Application:
-    """Return the stand-in as a tornado application."""
+    """Return the tornado application that serves the engine."""
     bound = {"state": state}
     return Application(
         [
--- a/src/tamarackrill/testing/object_store.py
+++ b/src/tamarackrill/testing/object_store.py
@@ -1,8 +1,8 @@
-"""Stand-in for the users' object store, in its published form, over `PlatformState`.
+"""Simulated object store with the published HTTP API, backed by `PlatformState`.
 
 ====== ============================ ==========================================
 GET    /objects/<kind>              a page of the list; with ``watch`` and
-                                    ``wait_ms`` what has changed since
+                                    ``wait_ms``, a long poll for changes
 GET    /objects/<kind>/<name>       one object, or 404
 ====== ============================ ==========================================
 """
@@ -15,46 +15,46 @@
 from tamarackrill.testing.platform import PlatformState, StoredObject
 
 PAGE_ITEMS = 50
-LONGEST_S = 3600.0
+HANG_S = 3600.0
 
 
 class ObjectStore:
-    """Objects, and what goes wrong with them.
+    """Stored objects and the faults to inject.
 
     Attributes
     ----------
     state : PlatformState
-        Objects and history.
+        Objects and their history.
     status : int
-        Every call is answered with it, unless 200.
+        Status of every response; 200 injects no fault.
     watches_hang : bool
-        Watches neither report a change nor end.
-    forgotten : int
-        The history up to this revision is gone.
+        Whether watches stay open without reporting changes.
+    compacted_revision : int
+        Watches from an earlier revision are answered with 410.
     body_delay_s : float
-        Time that the body of a list or an answered watch takes after its head.
+        Delay between the headers and the body of a list or watch response.
     calls : list of str
-        Paths and queries that were called.
+        Path and query of each request.
     """
 
     def __init__(self) -> None:
         self.state = PlatformState()
         self.status = 200
         self.watches_hang = False
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.body_delay_s = 0.0
         self.calls: list[str] = []
 
     async def write(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object, or delete it; return its revision."""
+        """Write an object, or delete it if `spec` is None; return its revision."""
         return (await self.state.write(kind, name, spec)).version
 
     async def compact_history(self) -> None:
-        """Drop the history; watches that wait are not told."""
-        self.forgotten = self.state.revision
+        """Drop the history without notifying the watches that wait."""
+        self.compacted_revision = self.state.revision
 
     def make_application(self) -> Application:
-        """Return the stand-in as a tornado application."""
+        """Return the tornado application that serves the store."""
         bound = {"store": self}
         return Application(
             [
@@ -100,8 +100,8 @@
             return
         items, revision = self.store.state.list_kind(kind)
         after = self.get_argument("after_revision", "")
-        named = sorted(items, key=lambda item: item.name)
-        rest = [item for item in named if item.name > after]
+        by_name = sorted(items, key=lambda item: item.name)
+        rest = [item for item in by_name if item.name > after]
         await self._finish_slowly(
             {
                 "items": [_write_object(item) for item in rest[:PAGE_ITEMS]],
@@ -112,12 +112,12 @@
 
     async def _watch(self, kind: str, since: int, wait_s: float) -> None:
         state = self.store.state
-        if since < self.store.forgotten:
+        if since < self.store.compacted_revision:
             self.set_status(410)
             self.finish({"store_revision": state.revision})
             return
         if self.store.watches_hang:
-            await asyncio.sleep(LONGEST_S)
+            await asyncio.sleep(HANG_S)
         async with state.changed:
             try:
                 async with asyncio.timeout(wait_s):
@@ -143,7 +143,7 @@
 def _write_event(item: StoredObject) -> dict[str, Any]:
     written = _write_object(item)
     if item.value is None:
-        # A removed object comes with the revision of its last change, which lies
-        # before its end.
+        # A removal event carries the revision of the object's last change, which is
+        # lower than that of its removal.
         written["metadata"]["revision"] = item.version - 1
     return written
--- a/src/tamarackrill/testing/platform.py
+++ b/src/tamarackrill/testing/platform.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform: object API, VM list, counted calls, faults.
+"""Simulated platform with an object API, a VM list, call counts and faults.
 
-It speaks JSON over HTTP.  Every object carries the global revision at which it
-was written; a delete leaves a revision too, so that a watch can report it.
+The API is JSON over HTTP.  Every object carries the global revision at which it was
+written; a deletion gets a revision too, so that a watch can report it.
 
 ====== ============================== =======================================
 GET    /v1/objects/<kind>             all objects of a kind, with the revision
@@ -11,8 +11,8 @@
 DELETE /v1/objects/<kind>/<name>      ``If-Match: <version>``
 GET    /v1/watch/<kind>               ``since`` and ``wait_s``; long poll
 GET    /v1/vms                        the VM list
-GET    /admin/counts                  calls so far, by sort
-PUT    /admin/faults                  replaces `Faults`, field by field
+GET    /admin/counts                  call counts by type
+PUT    /admin/faults                  replaces all fields of `Faults`
 PUT    /admin/vms                     replaces the VM list
 ====== ============================== =======================================
 """
@@ -29,7 +29,7 @@
 
 
 class StoredObject(NamedTuple):
-    """One version of an object; a value of None is a deletion."""
+    """One version of an object; a value of None marks a deletion."""
 
     kind: str
     name: str
@@ -38,24 +38,24 @@
 
 
 class Faults(NamedTuple):
-    """What goes wrong at the stand-in.
+    """Faults that the platform injects.
 
     Parameters
     ----------
     outage : bool
-        Every call of the object API and VM list answers 503.
+        Every call of the object API and VM list is answered with 503.
     lose_answers : int
-        So many of the next writes take effect and then answer 503.
+        Number of next writes that take effect and are answered with 503.
     drop_writes : int
-        So many of the next writes answer 503 without taking effect.
+        Number of next writes answered with 503 without taking effect.
     delay_s : float
-        Every call waits so long before it takes effect.
+        Delay of every call before it takes effect.
     answer_delay_s : float
-        Every write waits so long after it took effect.
+        Delay of every write after it took effect.
     stale_reads : int
-        Reads and lists leave out so many of the newest revisions.
+        Number of newest revisions that reads and lists leave out.
     cut : tuple of str
-        Zones that get no answer (by the header ``Zone`` of the client).
+        Zones whose calls are answered with 503, by the client's ``Zone`` header.
     """
 
     outage: bool = False
@@ -68,7 +68,7 @@
 
 
 class PlatformState:
-    """Objects, history, VM list, counts and faults of the stand-in."""
+    """Objects, history, VM list, call counts and faults of the platform."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -80,7 +80,7 @@
         self.changed = asyncio.Condition()
 
     async def write(self, kind: str, name: str, value: Any) -> StoredObject:
-        """Store a new version and wake the watches."""
+        """Store a new version and notify the watches."""
         self.revision += 1
         stored = StoredObject(kind, name, self.revision, value)
         self.objects[kind, name] = stored
@@ -91,7 +91,7 @@
         return stored
 
     def read(self, kind: str, name: str) -> StoredObject | None:
-        """Return the newest version that the faults let a reader see."""
+        """Return the newest version visible to a read under `Faults.stale_reads`."""
         if not self.faults.stale_reads:
             return self.objects.get((kind, name))
         horizon = self.revision - self.faults.stale_reads
@@ -103,14 +103,14 @@
         return seen[-1] if seen else None
 
     def list_kind(self, kind: str) -> tuple[list[StoredObject], int]:
-        """Return the live objects of a kind, and the revision of the list."""
+        """Return the objects of a kind without deletions, and the list's revision."""
         names = [name for known, name in self.objects if known == kind]
         found = [self.read(kind, name) for name in names]
         live = [item for item in found if item and item.value is not None]
         return live, self.revision - self.faults.stale_reads
 
     def events_since(self, kind: str, since: int) -> list[StoredObject]:
-        """Return what changed after a revision, oldest first."""
+        """Return the changes of a kind after a revision, oldest first."""
         return [i for i in self.history if i.kind == kind and i.version > since]
 
 
@@ -236,14 +236,14 @@
             self.state.vms = body["vms"]
         else:
             self.state.faults = Faults(**{**body, "cut": tuple(body.get("cut", ()))})
-        # An outage must also end the watches that wait now.
+        # An outage must also end the watches that are waiting.
         async with self.state.changed:
             self.state.changed.notify_all()
         self.send_json({})
 
 
 def make_platform(state: PlatformState) -> Application:
-    """Return the stand-in as a tornado application."""
+    """Return the tornado application that serves the platform API."""
     bound = {"state": state}
     return Application(
         [
--- a/src/tamarackrill/testing/service.py
+++ b/src/tamarackrill/testing/service.py
@@ -1,13 +1,13 @@
-"""Stand-in for one worker of a plain service.
+"""Simulated worker of a plain service.
 
-It answers any path with what it was asked, and counts what arrived by
-``Idempotency-Key``, so that a test can tell whether a call ran more than once.  A
-test that gives each sending its own ``Sending-Id`` can tell which of them arrived.
+It echoes each request and counts the requests by ``Idempotency-Key``, so that a test
+can tell whether a call ran more than once.  A test that gives each attempt its own
+``Sending-Id`` can tell which attempts arrived.
 
 ====== ================ =====================================================
-any    /<path>          answers the method, path and key as JSON
-GET    /admin/state     arrivals by key and in all, sendings in their order
-PUT    /admin/faults    replaces `ServiceFaults`, field by field
+any    /<path>          echoes method, path, key and body as JSON
+GET    /admin/state     arrivals by key, their total, and attempts in order
+PUT    /admin/faults    replaces all fields of `ServiceFaults`
 ====== ================ =====================================================
 """
 
@@ -22,19 +22,19 @@
 
 
 class ServiceFaults(NamedTuple):
-    """What goes wrong at the stand-in.
+    """Faults that the worker injects.
 
     Parameters
     ----------
     hold : bool
-        Calls arrive, are counted, and wait until the fault is lifted.
+        Calls are counted and wait until the fault is cleared.
     close : int
-        So many of the next calls are counted and their connection closed
-        before any byte of an answer.
+        Number of next calls that are counted and whose connection is closed before
+        any byte of a response.
     status : int
-        If not 0, every call is counted and answered with this status.
+        Status of every response, after the call is counted; 0 injects no fault.
     delay_s : float
-        Every call takes so long.
+        Delay of every response.
     """
 
     hold: bool = False
@@ -44,7 +44,7 @@
 
 
 class ServiceState:
-    """Arrivals and faults of one worker."""
+    """Request counts and faults of one worker."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -111,7 +111,7 @@
 
 
 def make_service(state: ServiceState) -> Application:
-    """Return the stand-in as a tornado application."""
+    """Return the tornado application that serves the worker."""
     bound = {"state": state}
     return Application(
         [
--- a/src/tamarackrill/testing/worker.py
+++ b/src/tamarackrill/testing/worker.py
@@ -1,4 +1,4 @@
-"""Stand-in for a worker of the users' platform, which may misbehave byte by byte."""
+"""Simulated worker of the users' platform, with full control of the bytes it sends."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 
 
 class WorkerRequest(NamedTuple):
-    """A request as it arrived."""
+    """A request as received."""
 
     method: str
     target: str
@@ -26,20 +26,20 @@
 
 
 class Worker:
-    """One worker.
+    """HTTP/1.1 server whose responses a callable writes.
 
     Parameters
     ----------
     name : str
-        Its id, under which the store lists it.
+        Id under which the store lists the worker.
     behave : callable
-        ``await behave(request, writer)`` writes the bytes of the answer; when it
-        closes the writer, the connection ends.
+        ``await behave(request, writer)`` writes the bytes of the response; it may close
+        the writer to end the connection.
 
     Attributes
     ----------
     requests, ran : list of WorkerRequest
-        What arrived, and what it began to run of that.
+        Requests received, and those whose execution began.
     """
 
     def __init__(self, name: str, behave: Behave) -> None:
@@ -54,13 +54,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen on a free port of loopback."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Refuse connections from now on, and end those that are open."""
+        """Stop listening and close all open connections."""
         if self._server is not None:
             self._server.close()
         for task in list(self._tasks):
@@ -68,7 +68,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def describe(self, service: str, zone: str = "z", **fields: object) -> dict:
-        """Return what the store lists of it."""
+        """Return the worker's entry in the store."""
         return {
             "service": service,
             "address": self.address,
@@ -104,16 +104,18 @@
             self.requests.append(request)
             if self.behave is not refuse_full:
                 self.ran.append(request)
-            gone = asyncio.create_task(reader.read(1))
+            disconnected = asyncio.create_task(reader.read(1))
             answering = asyncio.ensure_future(self.behave(request, writer))
-            await asyncio.wait([gone, answering], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                [disconnected, answering], return_when=asyncio.FIRST_COMPLETED
+            )
             if not answering.done():
-                # The router has closed the connection while the worker was at work.
+                # The router closed the connection before the response was complete.
                 answering.cancel()
                 self.closed.set()
                 return
-            gone.cancel()
-            await asyncio.gather(gone, return_exceptions=True)
+            disconnected.cancel()
+            await asyncio.gather(disconnected, return_exceptions=True)
             await answering
             await writer.drain()
 
@@ -133,7 +135,7 @@
 def make_answer(
     request: WorkerRequest, body: bytes = b"ok", status: int = 200, **headers: str
 ) -> bytes:
-    """Return the bytes of a whole answer; a header `X_Y` is sent as ``X-Y``."""
+    """Return the bytes of a response; the header argument `X_Y` is sent as ``X-Y``."""
     fields = {
         "X-Request-Attempt-Id": request.request_id,
         "X-Response-Signature": SIGNATURE,
@@ -146,7 +148,7 @@
 
 
 def make_stream_head(request: WorkerRequest) -> bytes:
-    """Return the head of a stream of events."""
+    """Return the status line and headers of an event stream."""
     lines = [
         "HTTP/1.1 200 OK",
         f"X-Request-Attempt-Id: {request.request_id}",
@@ -158,38 +160,38 @@
 
 
 def make_chunk(data: bytes) -> bytes:
-    """Return a chunk; an empty one ends the body."""
+    """Return an HTTP chunk; an empty one ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def make_event(number: int) -> bytes:
-    """Return an event of a stream."""
+    """Return one server-sent event."""
     return b"id: %d\ndata: word-%d\n\n" % (number, number)
 
 
 async def answer_ok(request: WorkerRequest, writer: asyncio.StreamWriter) -> None:
-    """Answer as a sound worker does."""
+    """Answer with status 200."""
     writer.write(make_answer(request))
 
 
 async def refuse_full(request: WorkerRequest, writer: asyncio.StreamWriter) -> None:
-    """Refuse as a full worker does."""
+    """Answer like a full worker: 503, marked as not executed."""
     writer.write(
         make_answer(request, b"", 503, X_Not_Executed="1", X_Response_Signature="")
     )
 
 
 def make_streaming(last: int, is_cut: bool = False, first: int = 1) -> Behave:
-    """Return the behaviour of a worker that sends events up to a last one.
+    """Return a behaviour that streams events up to number `last`.
 
     Parameters
     ----------
     last : int
-        Number of the last whole event.
+        Number of the last complete event.
     is_cut : bool, default=False
-        Whether the connection ends in the middle of the next event.
+        Whether the connection is closed in the middle of the next event.
     first : int, default=1
-        Number of the first event, unless the request asks to go on after one.
+        Number of the first event, unless the request has a ``Last-Event-ID``.
     """
 
     async def act(request: WorkerRequest, writer: asyncio.StreamWriter) -> None:
@@ -208,11 +210,14 @@
 
 
 def in_turn(*behaviours: Behave) -> Behave:
-    """Return a behaviour that workers share; each request gets the next of them."""
-    left = list(behaviours)
+    """Return a shared behaviour that applies the given ones in turn.
+
+    Each request gets the next behaviour; the last one repeats.
+    """
+    remaining = list(behaviours)
 
     async def act(request: WorkerRequest, writer: asyncio.StreamWriter) -> None:
-        behave = left.pop(0) if len(left) > 1 else left[0]
+        behave = remaining.pop(0) if len(remaining) > 1 else remaining[0]
         await behave(request, writer)
 
     return act
