--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,7 +12,7 @@
 TEAMS = tuple("abcdefgh")
 
 
-def test_plan_is_bounded_and_the_same_for_a_seed():
+def test_plan_is_bounded_and_deterministic():
     sessions = make_plan(1, TEAMS, SHAPE)
     assert sessions == make_plan(1, TEAMS, SHAPE) != make_plan(2, TEAMS, SHAPE)
     calls = [call for session in sessions for call in session.calls]
@@ -48,14 +48,14 @@
         ({"tries": 2}, "sent_again", True),
     ],
 )
-def test_answer_is_judged(changes, count, is_clean):
+def test_call_is_counted_by_outcome(changes, count, is_clean):
     judgement = Judgement()
     judgement.take(receive(**changes))
     assert judgement.to_dict()["counts"][count] == 1
     assert judgement.is_clean == is_clean
 
 
-def test_second_run_of_a_key_and_second_answer_are_faults():
+def test_repeated_execution_and_differing_resend_are_counted():
     judgement = Judgement()
     judgement.take_runs({"k1": 1, "k2": 2})
     judgement.take_resend(receive(text="1"), receive(text="2"))
@@ -90,7 +90,7 @@
         ]
 
 
-def test_bench_judges_a_running_router(bench_arguments):
+def test_bench_reports_calls_to_a_running_router(bench_arguments):
     assert main(bench_arguments) == 0
     file = bench_arguments[bench_arguments.index("--json") + 1]
     with open(file) as stream:
@@ -101,14 +101,14 @@
         assert "<svg" in stream.read(1000)
 
 
-def test_bench_notices_a_router_that_is_gone(bench_arguments, capsys):
-    # Nothing listens there: no caller gets an answer or a refusal.
+def test_bench_fails_if_the_router_is_unreachable(bench_arguments, capsys):
+    # Nothing listens at this address, so no call gets an answer or a refusal.
     arguments = [*bench_arguments, "--calls", "1"]
     arguments[2] = "127.0.0.1:1"
     assert main(arguments) == 1
     assert "answers_faulty" in capsys.readouterr().err
 
 
-def test_faulty_arguments_are_reported_together(bench_arguments, capsys):
+def test_invalid_arguments_are_reported_together(bench_arguments, capsys):
     assert main([*bench_arguments, "--calls", "0", "--lookup", "desk"]) == 2
     assert len(capsys.readouterr().err.splitlines()) == 2
