--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak of router processes on the platform's interface."""
+"""Randomized soak tests of router processes."""
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, and what they and the workers saw."""
+"""Callers of a soak test, and checks of what callers and workers observed."""
 
 import asyncio
 import random
@@ -10,92 +10,92 @@
 
 EVENTS = 5
 STREAM_BODY = b"".join(make_event(number) for number in range(1, EVENTS + 1))
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 ANSWER_MAX_S = 6.0
 PAUSE_S = 0.05
-LOST_CLIENT = (OSError, asyncio.IncompleteReadError, ValueError)
+CONNECTION_ERRORS = (OSError, asyncio.IncompleteReadError, ValueError)
 
 
-class Asked(NamedTuple):
-    """One request and its answer; None if the connection ended without one."""
+class Exchange(NamedTuple):
+    """A request and its response, None if the connection ended without one."""
 
     request_id: str
     target: str
-    answer: EdgeAnswer | None
-    asked_s: float
+    response: EdgeAnswer | None
+    sent_s: float
 
 
 class Caller:
-    """Sends requests one after the other, on kept connections until they end.
+    """Sends requests one at a time, reusing connections while they stay open.
 
     Parameters
     ----------
     name : str
-        Begins the ids of its requests.
+        Prefix of its request ids.
     addresses : list of str
-        Routers.
-    chance : random.Random
-        Of the soak's seed.
-    asked : list of Asked
-        Gets what it saw.
+        Addresses of the routers.
+    rng : random.Random
+        Random generator of the soak test's seed.
+    exchanges : list of Exchange
+        List to which it appends its requests and responses.
     """
 
     def __init__(
         self,
         name: str,
         addresses: list[str],
-        chance: random.Random,
-        asked: list[Asked],
+        rng: random.Random,
+        exchanges: list[Exchange],
     ) -> None:
         self._name = name
         self._addresses = addresses
-        self._chance = chance
-        self._asked = asked
+        self._rng = rng
+        self._exchanges = exchanges
 
     async def run(self, until_s: float) -> None:
-        """Ask until the loop's time is reached."""
+        """Send requests until the event loop's clock reaches a time."""
         loop = asyncio.get_running_loop()
         client: EdgeClient | None = None
         number = 0
         while loop.time() < until_s:
             number += 1
             request_id = f"{self._name}-{number}"
-            target = self._chance.choice(["/lookup/a", "/confirm/a", "/resumed/a"])
-            asked_s = loop.time()
-            answer = None
+            target = self._rng.choice(["/lookup/a", "/confirm/a", "/resumed/a"])
+            sent_s = loop.time()
+            response = None
             try:
                 async with asyncio.timeout(ANSWER_MAX_S):
                     if client is None:
-                        address = self._chance.choice(self._addresses)
+                        address = self._rng.choice(self._addresses)
                         client = await EdgeClient.connect(address)
                     client.send(target, request_id, b"body")
-                    answer = await client.read()
-            except (TimeoutError, *LOST_CLIENT):
-                answer = None
-            self._asked.append(Asked(request_id, target, answer, asked_s))
-            if client is not None and not _is_kept(answer):
+                    response = await client.read()
+            except (TimeoutError, *CONNECTION_ERRORS):
+                response = None
+            self._exchanges.append(Exchange(request_id, target, response, sent_s))
+            if client is not None and not _is_kept(response):
                 client.close()
                 client = None
-            await asyncio.sleep(self._chance.random() * PAUSE_S)
+            await asyncio.sleep(self._rng.random() * PAUSE_S)
         if client is not None:
             client.close()
 
 
-def _is_kept(answer: EdgeAnswer | None) -> bool:
-    if answer is None or not answer.is_whole:
+def _is_kept(response: EdgeAnswer | None) -> bool:
+    if response is None or not response.is_whole:
         return False
-    return answer.headers.get("connection") != "close"
+    return response.headers.get("connection") != "close"
 
 
-def find_broken(asked: list[Asked], workers: list[Worker]) -> list[str]:
-    """Return which promises were broken, a line each.
+def find_violations(exchanges: list[Exchange], workers: list[Worker]) -> list[str]:
+    """Return a description of each violated guarantee.
 
     Parameters
     ----------
-    asked : list of Asked
-        What callers sent and received.
+    exchanges : list of Exchange
+        Requests that callers sent, with their responses.
     workers : list of Worker
-        With all requests that reached them, and those that they ran.
+        Workers, which record the requests that they received and ran.
     """
     ran = Counter(
         request.request_id
@@ -103,38 +103,46 @@
         for request in worker.ran
         if request.target.startswith("/confirm/")
     )
-    sent = {item.request_id for item in asked}
-    broken = [f"{name} ran {count} times" for name, count in ran.items() if count > 1]
-    broken += [
-        f"{request.request_id} was sent by no caller"
+    sent = {item.request_id for item in exchanges}
+    violations = [
+        f"{name} ran {count} times" for name, count in ran.items() if count > 1
+    ]
+    violations += [
+        f"{request.request_id} reached a worker but was sent by no caller"
         for worker in workers
         for request in worker.requests
         if request.request_id not in sent
     ]
-    for item in asked:
-        if item.answer is not None:
-            broken += _judge(item, item.answer, ran)
-    return broken
+    for item in exchanges:
+        if item.response is not None:
+            violations += _check_response(item, item.response, ran)
+    return violations
 
 
-def _judge(item: Asked, answer: EdgeAnswer, ran: Counter[str]) -> list[str]:
-    broken = []
-    owner = answer.headers.get("x-request-attempt-id")
+def _check_response(
+    item: Exchange, response: EdgeAnswer, ran: Counter[str]
+) -> list[str]:
+    violations = []
+    owner = response.headers.get("x-request-attempt-id")
     if owner != item.request_id:
-        broken.append(f"{item.request_id} got an answer to {owner}")
+        violations.append(f"{item.request_id} got the response to {owner}")
     is_confirmation = item.target.startswith("/confirm/")
-    if is_confirmation and answer.status in PROMISES and ran[item.request_id]:
-        broken.append(f"{item.request_id} was promised not to have run, and has")
-    if answer.status in (401, 404):
-        broken.append(f"{item.request_id} was denied with {answer.status}")
-    if answer.status == 200 and item.target.startswith("/resumed/"):
+    if is_confirmation and response.status in NOT_RUN_STATUSES and ran[item.request_id]:
+        violations.append(
+            f"{item.request_id} ran, but its response said that it had not"
+        )
+    if response.status in (401, 404):
+        violations.append(f"{item.request_id} was rejected with {response.status}")
+    if response.status == 200 and item.target.startswith("/resumed/"):
         is_right = (
-            answer.body == STREAM_BODY
-            if answer.is_whole
-            else STREAM_BODY.startswith(answer.body)
+            response.body == STREAM_BODY
+            if response.is_whole
+            else STREAM_BODY.startswith(response.body)
         )
         if not is_right:
-            broken.append(f"{item.request_id} got a wrong stream: {answer.body!r}")
-    if answer.status == 200 and answer.is_whole and not answer.body:
-        broken.append(f"{item.request_id} got an empty answer")
-    return broken
+            violations.append(
+                f"{item.request_id} got a wrong stream: {response.body!r}"
+            )
+    if response.status == 200 and response.is_whole and not response.body:
+        violations.append(f"{item.request_id} got an empty response")
+    return violations
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,31 +1,31 @@
-"""Faults from outside: a loopback proxy, and signals to routers."""
+"""A loopback TCP proxy that injects network faults."""
 
 import asyncio
 from typing import Literal
 
 Mode = Literal["pass", "delay", "silence", "one_way", "refuse"]
 DELAY_S = 0.15
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 
 
 class Proxy:
-    """A proxy before one address, whose connections can be harmed.
+    """A TCP proxy in front of one address, which can inject faults.
 
     Parameters
     ----------
     target : str
-        ``host:port`` behind it.
+        ``host:port`` to which it forwards.
     ip : str, optional
-        Where it listens.
+        IP address on which it listens.
     port : int, optional
-        Where it listens; a free one by default.
+        Port on which it listens; a free one by default.
 
     Attributes
     ----------
     mode : str
-        ``"pass"`` passes bytes on; ``"delay"`` holds each piece; ``"silence"`` passes
-        nothing on, and new connections open all the same; ``"one_way"`` passes on only
-        what goes to the target; ``"refuse"`` resets new connections.
+        ``"pass"`` forwards bytes; ``"delay"`` delays each chunk; ``"silence"`` accepts
+        connections but forwards nothing; ``"one_way"`` forwards only towards the
+        target; ``"refuse"`` resets new connections.
     """
 
     def __init__(self, target: str, ip: str = "127.0.0.1", port: int = 0) -> None:
@@ -39,18 +39,18 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server = await asyncio.start_server(self._serve, self._ip, self._port)
         host, port = self._server.sockets[0].getsockname()
         self.address = f"{host}:{port}"
 
     def reset(self) -> None:
-        """Reset all connections that are open."""
+        """Reset all open connections."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     async def stop(self) -> None:
-        """Stop listening, and end what is open."""
+        """Stop listening and reset all open connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -78,29 +78,29 @@
         self._writers |= both
         try:
             await asyncio.gather(
-                self._pass_on(reader, back_writer, to_target=True),
-                self._pass_on(back_reader, writer, to_target=False),
+                self._relay(reader, back_writer, to_target=True),
+                self._relay(back_reader, writer, to_target=False),
             )
         except (OSError, asyncio.CancelledError):
-            # Either side may go at any time, and `stop` cancels what is left.
+            # Either side may disconnect at any time, and `stop` cancels open relays.
             return
         finally:
             self._writers -= both
             for each in both:
                 each.transport.abort()
 
-    async def _pass_on(
+    async def _relay(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         to_target: bool,
     ) -> None:
-        while piece := await reader.read(PIECE_BYTES):
+        while chunk := await reader.read(CHUNK_BYTES):
             if self.mode == "delay":
                 await asyncio.sleep(DELAY_S)
             while self.mode == "silence" or (self.mode == "one_way" and not to_target):
                 await asyncio.sleep(DELAY_S)
-            writer.write(piece)
+            writer.write(chunk)
             await writer.drain()
         if writer.can_write_eof():
             writer.write_eof()
--- a/soak/native.py
+++ b/soak/native.py
@@ -1,7 +1,7 @@
-"""A soak of the product's own daemon: confirmations while routers come and go.
+"""Soak test of the native daemon: non-idempotent calls while routers come and go.
 
-``python -m soak.native --seed 7`` plays a seed.  Callers keep their keys when they ask
-again, and go to another router only when they were told that nothing ran.
+``python -m soak.native --seed 7`` runs one seed.  Each call has its own idempotency key
+and goes to a random router.
 """
 
 import argparse
@@ -20,7 +20,7 @@
 CALLERS = 6
 FAULTS = 8
 PAUSE_MAX_S = 0.8
-# A caller that found nobody asks again after this time.
+# Pause of a caller after a call that failed without a response.
 RETRY_S = 0.05
 KEY = "a key of the soak"
 CONTRACT = {
@@ -33,58 +33,60 @@
 
 
 class _Caller(threading.Thread):
-    """Confirms one thing after the other."""
+    """Sends non-idempotent calls one at a time."""
 
-    def __init__(self, name: str, soak: "NativeSoak", chance: random.Random) -> None:
+    def __init__(self, name: str, soak: "NativeSoak", rng: random.Random) -> None:
         super().__init__(daemon=True)
         self._soak = soak
-        self._chance = chance
+        self._rng = rng
         self.name = name
         self.sent: list[str] = []
         self.refused: list[str] = []
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.statuses: Counter[str] = Counter()
 
     def run(self) -> None:
-        while not self._soak.is_over.is_set():
+        while not self._soak.finished.is_set():
             key = f"{self.name}-{len(self.sent)}"
             self.sent.append(key)
             self._ask(key)
 
     def _ask(self, key: str) -> None:
         headers = {"Authorization": f"Bearer {KEY}", "Idempotency-Key": key}
-        address = self._chance.choice(self._soak.list_addresses())
+        address = self._rng.choice(self._soak.list_addresses())
         try:
             answer = call(address, "/services/s/confirm", {}, None, headers, 5.0)
         except OSError as error:
             self.statuses[type(error).__name__] += 1
-            self._soak.is_over.wait(RETRY_S)
+            self._soak.finished.wait(RETRY_S)
             return
         self.statuses[str(answer.status)] += 1
         if answer.status == 200:
             if answer.json()["key"] != key:
-                self.broken.append(f"{key} got an answer to {answer.json()['key']}")
+                self.violations.append(
+                    f"{key} got the response to {answer.json()['key']}"
+                )
         elif answer.json()["run"] == "not_run":
             self.refused.append(key)
 
 
 class NativeSoak:
-    """One seed."""
+    """Soak test of one seed."""
 
     def __init__(self, seed: int) -> None:
-        self._chance = random.Random(seed)
+        self._rng = random.Random(seed)
         self._routers: list[RouterProcess] = []
         self._count = 0
-        self.is_over = threading.Event()
+        self.finished = threading.Event()
         self.faults: list[str] = []
         self.statuses: Counter[str] = Counter()
 
     def list_addresses(self) -> list[str]:
-        """Return where callers may ask."""
+        """Return the addresses of the routers that callers may use."""
         return [router.address for router in self._routers]
 
     def run(self) -> list[str]:
-        """Play, and return which promises were broken."""
+        """Run the test, and return a description of each violated guarantee."""
         with FleetProcesses() as fleet:
             workers = [fleet.add_service(f"worker-{n}") for n in range(WORKERS)]
             fleet.put_contract(CONTRACT)
@@ -92,46 +94,48 @@
                 self._add(fleet, zone)
             fleet.wait_ready()
             callers = [
-                _Caller(f"caller-{n}", self, random.Random(self._chance.random()))
+                _Caller(f"caller-{n}", self, random.Random(self._rng.random()))
                 for n in range(CALLERS)
             ]
             for caller in callers:
                 caller.start()
-            broken = []
+            violations = []
             for _ in range(FAULTS):
-                time.sleep(self._chance.random() * PAUSE_MAX_S)
-                broken += self._harm(fleet)
-            self.is_over.set()
+                time.sleep(self._rng.random() * PAUSE_MAX_S)
+                violations += self._inject_fault(fleet)
+            self.finished.set()
             for caller in callers:
                 caller.join()
-                broken += caller.broken
+                violations += caller.violations
                 self.statuses += caller.statuses
             arrivals: Counter[str] = Counter()
             for worker in workers:
                 arrivals.update(worker.look()["arrivals"])
         refused = {key for caller in callers for key in caller.refused}
-        broken += [f"{key} ran {n} times" for key, n in arrivals.items() if n > 1]
-        broken += [f"{key} ran though refused" for key in refused & arrivals.keys()]
-        return broken
+        violations += [f"{key} ran {n} times" for key, n in arrivals.items() if n > 1]
+        violations += [
+            f"{key} ran although it was refused" for key in refused & arrivals.keys()
+        ]
+        return violations
 
     def _add(self, fleet: FleetProcesses, zone: str) -> None:
         self._count += 1
         self._routers.append(fleet.add_router(f"router-{self._count}", zone))
 
-    def _harm(self, fleet: FleetProcesses) -> list[str]:
-        router = self._chance.choice(self._routers)
-        kind = self._chance.choice(["hups", "stop", "kill", "pause"])
+    def _inject_fault(self, fleet: FleetProcesses) -> list[str]:
+        router = self._rng.choice(self._routers)
+        kind = self._rng.choice(["hups", "stop", "kill", "pause"])
         self.faults.append(f"{router.name} {kind}")
         if kind == "pause":
             router.send(signal.SIGSTOP)
-            time.sleep(self._chance.random() * PAUSE_MAX_S)
+            time.sleep(self._rng.random() * PAUSE_MAX_S)
             router.send(signal.SIGCONT)
             return []
         if kind == "hups":
-            for _ in range(self._chance.randint(1, 3)):
+            for _ in range(self._rng.randint(1, 3)):
                 router.send(signal.SIGHUP)
-            time.sleep(self._chance.random() * PAUSE_MAX_S)
-            return [f"{router.name} ended by SIGHUP"] if router.is_ended() else []
+            time.sleep(self._rng.random() * PAUSE_MAX_S)
+            return [f"{router.name} exited on SIGHUP"] if router.is_ended() else []
         self._routers.remove(router)
         del fleet.routers[router.name]
         if kind == "stop":
@@ -144,28 +148,28 @@
             router.kill()
             code = 0
         self._add(fleet, router.zone)
-        return [f"{router.name} was told to stop and ended with {code}"] if code else []
+        return [f"{router.name} exited with code {code} after SIGTERM"] if code else []
 
 
-def play_seed(seed: int) -> list[str]:
-    """Play a seed, and return which promises were broken."""
+def run_seed(seed: int) -> list[str]:
+    """Run one seed, and return a description of each violated guarantee."""
     soak = NativeSoak(seed)
-    broken = soak.run()
+    violations = soak.run()
     print(f"seed {seed}: {', '.join(soak.faults)}; {dict(soak.statuses)}", flush=True)
-    for line in broken:
+    for line in violations:
         print(f"  BROKEN {line}", flush=True)
-    return broken
+    return violations
 
 
 def main() -> int:
-    """Play the seeds of the command line; the exit code tells whether all held."""
-    parser = argparse.ArgumentParser(description="Soak of the product's own daemon.")
+    """Run the seeds of the command line; return 0 if all passed, else 1."""
+    parser = argparse.ArgumentParser(description="Soak test of the native daemon.")
     parser.add_argument("--seed", type=int, default=1, help="first seed")
-    parser.add_argument("--seeds", type=int, default=1, help="how many")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds")
     options = parser.parse_args()
     seeds = range(options.seed, options.seed + options.seeds)
-    failed = sum(bool(play_seed(seed)) for seed in seeds)
-    print(f"{options.seeds - failed} seeds held, {failed} failed")
+    failed = sum(bool(run_seed(seed)) for seed in seeds)
+    print(f"{options.seeds - failed} seeds passed, {failed} failed")
     return 1 if failed else 0
 
 
--- a/soak/peers.py
+++ b/soak/peers.py
@@ -1,4 +1,4 @@
-"""The network between routers: a proxy at the address at which others reach each."""
+"""Network between routers: a proxy at each router's advertised address."""
 
 import asyncio
 import random
@@ -6,51 +6,54 @@
 
 from soak.faults import Proxy
 
-LOST_SHARE = 0.5
-LATE_S = 0.4
+LOSS_RATE = 0.5
+DELAY_S = 0.4
 
 
 class PeerNetwork:
-    """Carries datagrams and connections between routers, and harms them.
+    """Forwards datagrams and connections between routers, and injects faults.
 
-    A datagram comes from the address at which its sender is reached, as if there were
-    no proxy.
+    A forwarded datagram has its sender's advertised address as source, as it would
+    without a proxy.
 
     Parameters
     ----------
-    chance : random.Random
-        Of the soak's seed.
+    rng : random.Random
+        Random generator of the soak test's seed.
 
     Attributes
     ----------
     late, lossy : set of str
-        Routers to which datagrams come late, or half of them don't.
+        Routers to which datagrams are delayed, or of which half are lost.
     cut : set of tuple of str
-        Pairs of availability zones; nothing goes from the first to the second.
+        Pairs of availability zones; datagrams from the first to the second are
+        dropped.
     """
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
-        self._nodes: dict[str, _Node] = {}
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
+        self._nodes: dict[str, _PeerProxy] = {}
         self._names: dict[tuple[str, int], str] = {}
         self._zones: dict[str, str] = {}
         self.late: set[str] = set()
         self.lossy: set[str] = set()
         self.cut: set[tuple[str, str]] = set()
 
-    async def add(self, name: str, zone: str, address: str, reached_at: str) -> None:
-        """Stand before a router.
+    async def add(
+        self, name: str, zone: str, address: str, advertised_address: str
+    ) -> None:
+        """Put a proxy in front of a router.
 
         Parameters
         ----------
         name, zone : str
-            The router and its availability zone.
+            Name of the router and its availability zone.
         address : str
-            Where it listens.
-        reached_at : str
-            Where others reach it.
+            Address on which it listens.
+        advertised_address : str
+            Address at which other routers reach it.
         """
-        node = _Node(self, name, address, reached_at)
+        node = _PeerProxy(self, name, address, advertised_address)
         await node.start()
         self._nodes[name] = node
         self._names[_split(address)] = name
@@ -61,51 +64,52 @@
         for node in self._nodes.values():
             await node.stop()
 
-    def carry(self, data: bytes, source: tuple[str, int], receiver: str) -> None:
-        """Carry a datagram from where a router listens."""
+    def forward(self, data: bytes, source: tuple[str, int], receiver: str) -> None:
+        """Forward a datagram that a router sent from its listening address."""
         sender = self._names.get(source)
-        if sender is None or not self._has_path(sender, receiver):
+        if sender is None or not self._is_connected(sender, receiver):
             return
-        if receiver in self.lossy and self._chance.random() < LOST_SHARE:
+        if receiver in self.lossy and self._rng.random() < LOSS_RATE:
             return
-        delay_s = LATE_S if receiver in self.late else 0.0
+        delay_s = DELAY_S if receiver in self.late else 0.0
         loop = asyncio.get_running_loop()
         loop.call_later(delay_s, self._nodes[sender].send, data, self._nodes[receiver])
 
-    def _has_path(self, sender: str, receiver: str) -> bool:
+    def _is_connected(self, sender: str, receiver: str) -> bool:
         return (self._zones[sender], self._zones[receiver]) not in self.cut
 
 
-class _Node(asyncio.DatagramProtocol):
-    """What stands before one router."""
+class _PeerProxy(asyncio.DatagramProtocol):
+    """Proxy in front of one router."""
 
     def __init__(
-        self, network: PeerNetwork, name: str, address: str, reached_at: str
+        self, network: PeerNetwork, name: str, address: str, advertised_address: str
     ) -> None:
         self._network = network
         self._name = name
         self.address = _split(address)
-        self._reached_at = _split(reached_at)
-        # Connections don't say who made them, and are not cut.
-        self._proxy = Proxy(address, *self._reached_at)
+        self._advertised_address = _split(advertised_address)
+        # A connection doesn't identify the router that opened it, so partitions affect
+        # only datagrams.
+        self._proxy = Proxy(address, *self._advertised_address)
         self._transport: Any = None
 
     async def start(self) -> None:
         await self._proxy.start()
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-            lambda: self, local_addr=self._reached_at
+            lambda: self, local_addr=self._advertised_address
         )
 
     async def stop(self) -> None:
         self._transport.close()
         await self._proxy.stop()
 
-    def send(self, data: bytes, receiver: "_Node") -> None:
+    def send(self, data: bytes, receiver: "_PeerProxy") -> None:
         if not self._transport.is_closing():
             self._transport.sendto(data, receiver.address)
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._network.carry(data, (addr[0], addr[1]), self._name)
+        self._network.forward(data, (addr[0], addr[1]), self._name)
 
 
 def _split(address: str) -> tuple[str, int]:
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,9 +1,9 @@
-"""A randomized soak: router processes, stand-ins, and faults from outside.
+"""Randomized soak test: router processes with stand-ins and injected faults.
 
-``make soak SEEDS=50`` plays seeds one after the other, ``python -m soak.run --seed 7``
-one of them.  Each plays a few seconds of callers while faults come in series and
-overlap, then lets all heal, and checks the promises from what callers and workers saw.
-Only processes that it started are signalled.
+``make soak SEEDS=50`` runs seeds one after the other, ``python -m soak.run --seed 7``
+one of them.  Each runs callers for a few seconds under sequential and overlapping
+faults, ends the faults, and checks the guarantees against what callers and workers
+observed.  It signals only processes that it started.
 """
 
 import argparse
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from soak.callers import EVENTS, Asked, Caller, find_broken
+from soak.callers import EVENTS, Caller, Exchange, find_violations
 from soak.faults import Proxy
 from soak.peers import PeerNetwork
 from tamarackrill.testing.edge import EdgeFleet, make_route
@@ -33,10 +33,10 @@
 
 WORKERS = 3
 CALLERS = 8
-# Routers that the settings of each name.
+# Maximum number of seed routers in the settings of each router.
 SEEDS = 3
-PLAY_S = 8.0
-HEAL_S = 4.0
+FAULTS_S = 8.0
+RECOVERY_S = 4.0
 FAULT_PAUSE_S = 0.7
 PAUSE_MAX_S = 1.5
 ROUTES = (
@@ -46,33 +46,39 @@
 )
 
 
-Harm = Callable[[EdgeFleet], Awaitable[None]]
+FaultInjector = Callable[[EdgeFleet], Awaitable[None]]
 
 
-class Shape(NamedTuple):
-    """How many routers there are, and what may happen to them.
+class Topology(NamedTuple):
+    """Routers of a soak test, and the kinds of faults that it injects.
 
     Parameters
     ----------
     zones : tuple of str
         Availability zone of each router.
-    has_network : bool
-        Whether what routers send each other is harmed too, and whether they are
-        signalled while they start.
+    has_peer_faults : bool
+        Whether to inject faults into the traffic between routers too, and to send
+        signals to routers while they start.
     """
 
     zones: tuple[str, ...]
-    has_network: bool
+    has_peer_faults: bool
 
 
-ONE_ZONE = Shape(("z", "z", "z"), has_network=False)
-TWO_ZONES = Shape(("a", "a", "b", "b"), has_network=True)
-THREE_ZONES = Shape(("a", "a", "a", "b", "b", "b", "c", "c"), has_network=True)
-MANY = Shape(tuple("abcdef") * 10, has_network=True)
-SHAPES = {"one": ONE_ZONE, "two": TWO_ZONES, "three": THREE_ZONES, "many": MANY}
-# Time in which a change has to be in force; twice for a machine that plays it all.
-IN_FORCE_MAX_S = 4.0
-WATCH_EVERY_S = 0.02
+ONE_ZONE = Topology(("z", "z", "z"), has_peer_faults=False)
+TWO_ZONES = Topology(("a", "a", "b", "b"), has_peer_faults=True)
+THREE_ZONES = Topology(("a", "a", "a", "b", "b", "b", "c", "c"), has_peer_faults=True)
+SIXTY_ROUTERS = Topology(tuple("abcdef") * 10, has_peer_faults=True)
+TOPOLOGIES = {
+    "one": ONE_ZONE,
+    "two": TWO_ZONES,
+    "three": THREE_ZONES,
+    "many": SIXTY_ROUTERS,
+}
+# Limit for applying a manifest change: twice the normal one, since all routers share
+# one machine.
+MANIFEST_APPLY_MAX_S = 4.0
+WATCH_POLL_S = 0.02
 
 
 async def _lose_answer(request: object, writer: asyncio.StreamWriter) -> None:
@@ -80,35 +86,35 @@
 
 
 class Soak:
-    """One seed."""
+    """Soak test of one seed."""
 
-    def __init__(self, seed: int, folder: Path, shape: Shape = ONE_ZONE) -> None:
-        self._chance = random.Random(seed)
-        self._shape = shape
+    def __init__(self, seed: int, folder: Path, topology: Topology = ONE_ZONE) -> None:
+        self._rng = random.Random(seed)
+        self._topology = topology
         self._network = PeerNetwork(random.Random(seed))
-        self._ends: list[str] = []
+        self._unexpected_exits: list[str] = []
         self._folder = folder
         self._routers: list[EdgeProcess] = []
         self._proxies: list[Proxy] = []
         self._store_proxies: list[Proxy] = []
         self._version = 1
         self.faults: list[str] = []
-        self.asked: list[Asked] = []
+        self.exchanges: list[Exchange] = []
 
     async def run(self) -> list[str]:
-        """Play, and return which promises were broken."""
+        """Run the test, and return a description of each violated guarantee."""
         async with EdgeFleet() as fleet:
             await fleet.put_manifest(1, *ROUTES)
             try:
                 await self._start(fleet)
-                broken = await self._play(fleet)
+                violations = await self._run_scenario(fleet)
             finally:
                 for router in self._routers:
                     router.kill()
                 await self._network.stop()
                 for proxy in [*self._proxies, *self._store_proxies]:
                     await proxy.stop()
-        return broken
+        return violations
 
     async def _start(self, fleet: EdgeFleet) -> None:
         for number in range(WORKERS):
@@ -117,7 +123,7 @@
                 fleet, f"writer-{number}", "writer", make_streaming(EVENTS)
             )
         peer_port = find_free_port()
-        for number, zone in enumerate(self._shape.zones):
+        for number, zone in enumerate(self._topology.zones):
             await self._add_router(fleet, number, zone, peer_port)
         for router in self._routers:
             await router.wait_ready()
@@ -130,7 +136,7 @@
         self._store_proxies.append(proxy)
         name = f"router-{number}"
         seeds = [r.peer_address or r.addresses.peers for r in self._routers[:SEEDS]]
-        # Ports are the same on all VMs of a fleet, so that each has an address.
+        # All VMs of a fleet use the same ports, so each router needs its own IP.
         addresses = choose_addresses(f"127.0.1.{number + 1}", peer_port)
         router = EdgeProcess(
             name,
@@ -140,10 +146,10 @@
             self._folder,
             addresses=addresses,
         )
-        if self._shape.has_network:
-            reached_at = f"127.0.2.{number + 1}:{peer_port}"
-            router.peer_address = reached_at
-            await self._network.add(name, zone, addresses.peers, reached_at)
+        if self._topology.has_peer_faults:
+            advertised_address = f"127.0.2.{number + 1}:{peer_port}"
+            router.peer_address = advertised_address
+            await self._network.add(name, zone, addresses.peers, advertised_address)
         router.start()
         self._routers.append(router)
 
@@ -159,75 +165,89 @@
         spec = worker.describe(service, address=proxy.address)
         await fleet.store.write("servers", name, spec)
 
-    async def _play(self, fleet: EdgeFleet) -> list[str]:
+    async def _run_scenario(self, fleet: EdgeFleet) -> list[str]:
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + PLAY_S + HEAL_S
+        until_s = loop.time() + FAULTS_S + RECOVERY_S
         addresses = [router.addresses.callers for router in self._routers]
         callers = [
-            Caller(f"caller-{number}", addresses, self._chance, self.asked)
+            Caller(f"caller-{number}", addresses, self._rng, self.exchanges)
             for number in range(CALLERS)
         ]
-        asking = [asyncio.create_task(caller.run(until_s)) for caller in callers]
-        watching = asyncio.create_task(self._watch_ends())
-        end_s = loop.time() + PLAY_S
-        harms: set[asyncio.Task[None]] = set()
+        caller_tasks = [asyncio.create_task(caller.run(until_s)) for caller in callers]
+        watch_task = asyncio.create_task(self._watch_exits())
+        end_s = loop.time() + FAULTS_S
+        fault_tasks: set[asyncio.Task[None]] = set()
         while loop.time() < end_s:
-            harms.add(asyncio.create_task(self._harm(fleet)))
-            await asyncio.sleep(self._chance.random() * 2 * FAULT_PAUSE_S)
-        await asyncio.gather(*harms)
-        await self._heal(fleet)
-        healed_s = loop.time()
-        in_force = await self._find_late(fleet) if self._shape.has_network else []
-        await asyncio.gather(*asking)
-        watching.cancel()
-        broken = [*self._ends, *in_force, *find_broken(self.asked, fleet.workers)]
-        late = [a for a in self.asked if a.asked_s > healed_s + HEAL_S / 2]
-        served = [a for a in late if a.answer is not None and a.answer.status == 200]
+            fault_tasks.add(asyncio.create_task(self._inject_fault(fleet)))
+            await asyncio.sleep(self._rng.random() * 2 * FAULT_PAUSE_S)
+        await asyncio.gather(*fault_tasks)
+        await self._recover(fleet)
+        recovered_s = loop.time()
+        outdated = (
+            await self._find_outdated_routers(fleet)
+            if self._topology.has_peer_faults
+            else []
+        )
+        await asyncio.gather(*caller_tasks)
+        watch_task.cancel()
+        violations = [
+            *self._unexpected_exits,
+            *outdated,
+            *find_violations(self.exchanges, fleet.workers),
+        ]
+        late = [a for a in self.exchanges if a.sent_s > recovered_s + RECOVERY_S / 2]
+        served = [
+            a for a in late if a.response is not None and a.response.status == 200
+        ]
         if len(served) < 0.9 * len(late):
-            broken.append(f"{len(served)} of {len(late)} served after all had healed")
-        return broken
+            violations.append(f"{len(served)} of {len(late)} served after recovery")
+        return violations
 
-    async def _watch_ends(self) -> None:
-        """Note routers that end without being told, and start them again."""
+    async def _watch_exits(self) -> None:
+        """Record unexpected exits of routers, and restart these routers."""
         while True:
             for router in self._routers:
-                fault = router.find_fault()
+                fault = router.describe_unexpected_exit()
                 if fault:
-                    self._ends.append(fault)
+                    self._unexpected_exits.append(fault)
                     router.start()
-            await asyncio.sleep(WATCH_EVERY_S)
+            await asyncio.sleep(WATCH_POLL_S)
 
-    async def _find_late(self, fleet: EdgeFleet) -> list[str]:
-        """Change the manifest, and return the routers that don't have it in time."""
+    async def _find_outdated_routers(self, fleet: EdgeFleet) -> list[str]:
+        """Change the manifest, and report the routers that don't apply it in time."""
         await self._change_manifest(fleet)
-        late = {router.name for router in self._routers}
+        outdated = {router.name for router in self._routers}
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + IN_FORCE_MAX_S
-        while late and loop.time() < until_s:
+        until_s = loop.time() + MANIFEST_APPLY_MAX_S
+        while outdated and loop.time() < until_s:
             for router in self._routers:
                 if await router.read_metric("manifest_version") == self._version:
-                    late.discard(router.name)
-            await asyncio.sleep(WATCH_EVERY_S)
-        return [f"{name} lacks version {self._version}" for name in sorted(late)]
-
-    async def _harm(self, fleet: EdgeFleet) -> None:
-        harms: tuple[Harm, ...] = (
-            self._harm_router,
-            self._harm_path,
-            self._harm_store,
-            self._harm_worker,
+                    outdated.discard(router.name)
+            await asyncio.sleep(WATCH_POLL_S)
+        return [f"{name} lacks version {self._version}" for name in sorted(outdated)]
+
+    async def _inject_fault(self, fleet: EdgeFleet) -> None:
+        injectors: tuple[FaultInjector, ...] = (
+            self._fault_router,
+            self._fault_worker_path,
+            self._fault_store,
+            self._fault_worker,
             self._change_manifest,
         )
-        if self._shape.has_network:
-            harms += (self._harm_start, self._harm_peers, self._cut_zone)
-        await self._chance.choice(harms)(fleet)
-
-    async def _harm_start(self, fleet: EdgeFleet) -> None:
-        """Start a router anew, and signal it in series while it starts."""
-        router = self._chance.choice(self._routers)
-        count = self._chance.randint(1, 3)
+        if self._topology.has_peer_faults:
+            injectors += (
+                self._fault_startup,
+                self._fault_peer_datagrams,
+                self._partition_zone,
+            )
+        await self._rng.choice(injectors)(fleet)
+
+    async def _fault_startup(self, fleet: EdgeFleet) -> None:
+        """Restart a router, and send it one to three signals while it starts."""
+        router = self._rng.choice(self._routers)
+        count = self._rng.randint(1, 3)
         numbers = [
-            self._chance.choice([signal.SIGHUP, signal.SIGTERM]) for _ in range(count)
+            self._rng.choice([signal.SIGHUP, signal.SIGTERM]) for _ in range(count)
         ]
         names = " ".join(number.name for number in numbers)
         self.faults.append(f"{router.name} starts {names}")
@@ -236,45 +256,45 @@
         if router.is_running:
             return
         router.start()
-        over_s = self._chance.random()
+        over_s = self._rng.random()
         are_sent = await router.signal_listening(*numbers, over_s=over_s)
         if are_sent and signal.SIGTERM in numbers:
             await router.wait_ended()
             if not router.is_running:
                 router.start()
 
-    async def _harm_peers(self, fleet: EdgeFleet) -> None:
-        """Have datagrams to a router come late, or not."""
-        name = self._chance.choice(self._routers).name
-        kind = self._chance.choice(["late", "lossy"])
+    async def _fault_peer_datagrams(self, fleet: EdgeFleet) -> None:
+        """Delay or drop datagrams to a router for a while."""
+        name = self._rng.choice(self._routers).name
+        kind = self._rng.choice(["late", "lossy"])
         self.faults.append(f"datagrams to {name} {kind}")
-        harmed = self._network.late if kind == "late" else self._network.lossy
-        harmed.add(name)
-        await asyncio.sleep(self._chance.random() * 2 * PAUSE_MAX_S)
-        harmed.discard(name)
-
-    async def _cut_zone(self, fleet: EdgeFleet) -> None:
-        """Cut a zone off from the others, one way or both."""
-        zones = sorted(set(self._shape.zones))
-        zone = self._chance.choice(zones)
-        ways = self._chance.choice(["to", "from", "both"])
+        affected = self._network.late if kind == "late" else self._network.lossy
+        affected.add(name)
+        await asyncio.sleep(self._rng.random() * 2 * PAUSE_MAX_S)
+        affected.discard(name)
+
+    async def _partition_zone(self, fleet: EdgeFleet) -> None:
+        """Drop datagrams between a zone and the others, one way or both."""
+        zones = sorted(set(self._topology.zones))
+        zone = self._rng.choice(zones)
+        ways = self._rng.choice(["to", "from", "both"])
         self.faults.append(f"datagrams {ways} zone {zone} cut")
         others = [other for other in zones if other != zone]
         to = {(other, zone) for other in others} if ways != "from" else set()
         back = {(zone, other) for other in others} if ways != "to" else set()
         self._network.cut |= to | back
-        await asyncio.sleep(self._chance.random() * 2 * PAUSE_MAX_S)
+        await asyncio.sleep(self._rng.random() * 2 * PAUSE_MAX_S)
         self._network.cut -= to | back
 
-    async def _harm_router(self, fleet: EdgeFleet) -> None:
-        router = self._chance.choice(self._routers)
-        kind = self._chance.choice(["kill", "stop", "pause", "hup"])
+    async def _fault_router(self, fleet: EdgeFleet) -> None:
+        router = self._rng.choice(self._routers)
+        kind = self._rng.choice(["kill", "stop", "pause", "hup"])
         self.faults.append(f"{router.name} {kind}")
         if kind == "hup":
             await router.signal_listening(signal.SIGHUP)
         elif kind == "pause":
             router.signal(signal.SIGSTOP)
-            await asyncio.sleep(self._chance.random() * PAUSE_MAX_S)
+            await asyncio.sleep(self._rng.random() * PAUSE_MAX_S)
             router.signal(signal.SIGCONT)
         else:
             if kind == "kill":
@@ -285,54 +305,54 @@
             if not router.is_running:
                 router.start()
 
-    async def _harm_path(self, fleet: EdgeFleet) -> None:
-        await self._harm_proxy(self._chance.choice(self._proxies), "worker")
+    async def _fault_worker_path(self, fleet: EdgeFleet) -> None:
+        await self._fault_proxy(self._rng.choice(self._proxies), "worker")
 
-    async def _harm_store(self, fleet: EdgeFleet) -> None:
-        kind = self._chance.choice(["path", "busy", "history"])
+    async def _fault_store(self, fleet: EdgeFleet) -> None:
+        kind = self._rng.choice(["path", "busy", "history"])
         if kind == "path":
-            await self._harm_proxy(self._chance.choice(self._store_proxies), "store")
+            await self._fault_proxy(self._rng.choice(self._store_proxies), "store")
             return
         self.faults.append(f"store {kind}")
         if kind == "history":
             await fleet.store.forget_history()
             return
         fleet.store.status = 503
-        await asyncio.sleep(self._chance.random() * PAUSE_MAX_S)
+        await asyncio.sleep(self._rng.random() * PAUSE_MAX_S)
         fleet.store.status = 200
 
-    async def _harm_proxy(self, proxy: Proxy, what: str) -> None:
+    async def _fault_proxy(self, proxy: Proxy, what: str) -> None:
         modes = ["delay", "silence", "one_way", "refuse", "reset"]
-        mode = self._chance.choice(modes)
+        mode = self._rng.choice(modes)
         self.faults.append(f"path to {what} {mode}")
         if mode == "reset":
             proxy.reset()
             return
         proxy.mode = mode  # type: ignore[assignment]
-        await asyncio.sleep(self._chance.random() * PAUSE_MAX_S)
+        await asyncio.sleep(self._rng.random() * PAUSE_MAX_S)
         proxy.mode = "pass"
 
-    async def _harm_worker(self, fleet: EdgeFleet) -> None:
-        worker = self._chance.choice(fleet.workers)
+    async def _fault_worker(self, fleet: EdgeFleet) -> None:
+        worker = self._rng.choice(fleet.workers)
         is_desk = worker.name.startswith("desk")
         if is_desk:
-            behave = self._chance.choice([_lose_answer, refuse_full])
-            sound: Behave = answer_ok
+            behave = self._rng.choice([_lose_answer, refuse_full])
+            normal: Behave = answer_ok
         else:
-            last = self._chance.randrange(EVENTS)
-            sound = make_streaming(EVENTS)
-            behave = in_turn(make_streaming(last, is_cut=True), sound)
+            last = self._rng.randrange(EVENTS)
+            normal = make_streaming(EVENTS)
+            behave = in_turn(make_streaming(last, is_cut=True), normal)
         self.faults.append(f"{worker.name} misbehaves")
         worker.behave = behave
-        await asyncio.sleep(self._chance.random() * PAUSE_MAX_S)
-        worker.behave = sound
+        await asyncio.sleep(self._rng.random() * PAUSE_MAX_S)
+        worker.behave = normal
 
     async def _change_manifest(self, fleet: EdgeFleet) -> None:
         self._version += 1
         self.faults.append(f"manifest {self._version}")
         await fleet.put_manifest(self._version, *ROUTES)
 
-    async def _heal(self, fleet: EdgeFleet) -> None:
+    async def _recover(self, fleet: EdgeFleet) -> None:
         fleet.store.status = 200
         self._network.cut.clear()
         for router in self._routers:
@@ -342,29 +362,35 @@
             await router.wait_ready()
 
 
-def play_seed(seed: int, folder: Path, shape: Shape = ONE_ZONE) -> list[str]:
-    """Play a seed, and return which promises were broken."""
-    soak = Soak(seed, folder, shape)
-    broken = asyncio.run(soak.run())
+def run_seed(seed: int, folder: Path, topology: Topology = ONE_ZONE) -> list[str]:
+    """Run one seed, and return a description of each violated guarantee."""
+    soak = Soak(seed, folder, topology)
+    violations = asyncio.run(soak.run())
     statuses: dict[str, int] = {}
-    for item in soak.asked:
-        key = "none" if item.answer is None else str(item.answer.status)
+    for item in soak.exchanges:
+        key = "none" if item.response is None else str(item.response.status)
         statuses[key] = statuses.get(key, 0) + 1
     print(f"seed {seed}: {len(soak.faults)} faults, answers {statuses}", flush=True)
-    for line in broken:
+    for line in violations:
         print(f"  BROKEN {line}", flush=True)
-    if broken:
+    if violations:
         print(f"  faults: {', '.join(soak.faults)}", flush=True)
-    return broken
+    return violations
 
 
 def main() -> int:
-    """Play the seeds of the command line; the exit code tells whether all held."""
-    parser = argparse.ArgumentParser(description="Randomized soak of router processes.")
+    """Run the seeds of the command line; return 0 if all passed, else 1."""
+    parser = argparse.ArgumentParser(
+        description="Randomized soak test of router processes."
+    )
     parser.add_argument("--seed", type=int, default=1, help="first seed")
-    parser.add_argument("--seeds", type=int, default=1, help="how many")
-    parser.add_argument("--shape", choices=SHAPES, default="one", help="of the fleet")
-    parser.add_argument("--logs", type=Path, help="folder that keeps the routers' logs")
+    parser.add_argument("--seeds", type=int, default=1, help="number of seeds")
+    parser.add_argument(
+        "--shape", choices=TOPOLOGIES, default="one", help="topology of the fleet"
+    )
+    parser.add_argument(
+        "--logs", type=Path, help="folder in which to keep the routers' logs"
+    )
     options = parser.parse_args()
     failed = 0
     for seed in range(options.seed, options.seed + options.seeds):
@@ -373,8 +399,8 @@
             if options.logs is not None:
                 folder = options.logs / str(seed)
                 folder.mkdir(parents=True, exist_ok=True)
-            failed += bool(play_seed(seed, folder, SHAPES[options.shape]))
-    print(f"{options.seeds - failed} seeds held, {failed} failed")
+            failed += bool(run_seed(seed, folder, TOPOLOGIES[options.shape]))
+    print(f"{options.seeds - failed} seeds passed, {failed} failed")
     return 1 if failed else 0
 
 
--- a/src/tamarackrill/testing/__init__.py
+++ b/src/tamarackrill/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engine, service and platform, shipped for users' own tests."""
+"""Stand-ins for engine, service and platform, for use in users' own tests."""
--- a/src/tamarackrill/testing/daemon.py
+++ b/src/tamarackrill/testing/daemon.py
@@ -1,7 +1,7 @@
 """Runs one stand-in as a process: ``python -m tamarackrill.testing.daemon``.
 
-It prints ``listening <host:port>`` once it listens.  An engine or service
-announces itself on the platform, as a real endpoint does.
+It prints ``listening <host:port>`` once it accepts connections.  An engine or service
+registers itself on the platform, as a real endpoint does.
 """
 
 import argparse
@@ -28,21 +28,21 @@
 
 
 def listen(application: Application, port: int = 0) -> tuple[HTTPServer, str]:
-    """Serve an application on loopback.
+    """Serve an application on the loopback interface.
 
     Parameters
     ----------
     application : tornado.web.Application
-        What to serve.
+        Application to serve.
     port : int, default=0
-        TCP port; 0 takes a free one.
+        TCP port; 0 picks a free one.
 
     Returns
     -------
     server : tornado.httpserver.HTTPServer
-        Stop it with ``server.stop()``.
+        Server, already listening; ``server.stop()`` stops it.
     address : str
-        ``host:port``.
+        ``host:port`` on which it listens.
     """
     sockets = bind_sockets(port, LOOPBACK)
     server = HTTPServer(application)
@@ -51,7 +51,7 @@
 
 
 async def announce(platform: PlatformClient, endpoint: Endpoint) -> None:
-    """Write an endpoint's own object, over whatever version stands there."""
+    """Register an endpoint on the platform, replacing any existing version."""
     current = await platform.get(ENDPOINT_KIND, endpoint.name)
     version = current.version if current else None
     await platform.put(ENDPOINT_KIND, endpoint.name, endpoint._asdict(), version)
@@ -62,11 +62,13 @@
     parser.add_argument("what", choices=("platform", "engine", "service"))
     parser.add_argument("--name", default="stand-in")
     parser.add_argument("--zone", default="zone-a")
-    parser.add_argument("--serves", default="", help="models or service, with commas")
+    parser.add_argument(
+        "--serves", default="", help="models or service, comma-separated"
+    )
     parser.add_argument("--slots", type=int, default=8)
     parser.add_argument("--models-max", type=int, default=1)
     parser.add_argument("--step-s", type=float, default=0.001)
-    parser.add_argument("--platform", help="host:port to announce to")
+    parser.add_argument("--platform", help="host:port of the platform to register on")
     parser.add_argument("--port", type=int, default=0)
     return parser
 
--- a/src/tamarackrill/testing/demo.py
+++ b/src/tamarackrill/testing/demo.py
@@ -1,4 +1,4 @@
-"""``make demo``: the whole path in one process, with embedded stand-ins."""
+"""``make demo``: routers and stand-ins for their back ends in one process."""
 
 import asyncio
 import json
@@ -83,7 +83,7 @@
 
 
 async def run_demo() -> None:
-    """Start everything, ask four things and print what came."""
+    """Start everything, send five requests and print the responses."""
     state = PlatformState()
     _, platform = listen(make_platform(state))
     await _start_back_ends(platform)
@@ -104,7 +104,7 @@
 
 
 def main() -> int:
-    """Run the demo; its log lines go to standard error."""
+    """Run the demo, logging to standard error."""
     set_up_logs("text")
     asyncio.run(run_demo())
     return 0
--- a/src/tamarackrill/testing/deployment.py
+++ b/src/tamarackrill/testing/deployment.py
@@ -1,9 +1,9 @@
-"""Runs a deployment of examples/ in one process, with stand-ins for what it lacks.
+"""Runs a deployment from examples/ in one process, with stand-in back ends.
 
 ``python -m tamarackrill.testing.deployment examples/cegin-ddata`` starts the platform,
 the services' workers, two engines for each model that a contract names, and one router
-for each entry VM, all on loopback, until SIGINT.  The command line and the load tool
-can then be used against it.
+for each entry VM, all on loopback.  It runs until SIGINT or SIGTERM, and the command
+line and the load tool can be used against it.
 """
 
 import argparse
@@ -30,20 +30,20 @@
 from tamarackrill.testing.platform import PlatformState, make_platform
 from tamarackrill.testing.service import ServiceState, make_service
 
-# The number of engines is not known; two are enough to see a choice between them.
-ENGINES_EACH = 2
+# The files don't list engines; two per model are enough to show routing between them.
+ENGINES_PER_MODEL = 2
 READY_POLL_S = 0.02
 
 
 class Deployment:
-    """All processes of one deployment, embedded in this one.
+    """All parts of one deployment, run in this process.
 
     Parameters
     ----------
     directory : pathlib.Path
-        Holds ``fleet.env``, ``vms/``, ``contracts/`` and ``endpoints/``.
+        Contains ``fleet.env``, ``vms/``, ``contracts/`` and ``endpoints/``.
     free_ports : bool, default=False
-        Take free ports instead of those of the files.
+        Use free ports instead of those in the files.
     """
 
     def __init__(self, directory: Path, free_ports: bool = False) -> None:
@@ -56,7 +56,7 @@
         self._client = AsyncHTTPClient(force_instance=True)
 
     async def start(self) -> None:
-        """Start everything; return once all routers know all of it."""
+        """Start everything, and wait until all routers have the whole configuration."""
         common = read_environment(self._directory / "fleet.env")
         port = int(common["TAMARACKRILL_PLATFORM"].rpartition(":")[2])
         self.platform_address = self._serve(make_platform(self._state), port)
@@ -72,7 +72,7 @@
             await asyncio.sleep(READY_POLL_S)
 
     async def stop(self) -> None:
-        """Stop all that `start` started."""
+        """Stop everything that `start` started."""
         for router in self.routers:
             await router.drain()
             await router.stop()
@@ -95,7 +95,7 @@
         models = {model for item in documents for model in item.value["models"]}
         endpoints = [self._start_worker(worker) for worker in workers]
         for model in sorted(models):
-            for number in range(ENGINES_EACH):
+            for number in range(ENGINES_PER_MODEL):
                 zone = zones[number % len(zones)]
                 endpoints.append(self._start_engine(f"{model}-{number}", model, zone))
         return endpoints
@@ -126,7 +126,7 @@
 
 
 def read_environment(path: Path) -> dict[str, str]:
-    """Return the variables of a file with lines ``NAME=value`` and comments."""
+    """Read a file of ``NAME=value`` lines, skipping blank lines and comments."""
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines()]
     pairs = [line.split("=", 1) for line in lines if line and not line.startswith("#")]
     return dict(pairs)
@@ -142,13 +142,13 @@
     print(f"platform {deployment.platform_address}")
     for router in deployment.routers:
         print(f"router {router.settings.name} {router.address}")
-    print(f"keys of the teams: {directory / 'keys.json'}", flush=True)
+    print(f"API keys of the teams: {directory / 'keys.json'}", flush=True)
     await stopped.wait()
     await deployment.stop()
 
 
 def main(arguments: Sequence[str] | None = None) -> None:
-    """Run the deployment of the directory that is named."""
+    """Run the deployment in the directory given on the command line."""
     parser = argparse.ArgumentParser(prog="tamarackrill.testing.deployment")
     parser.add_argument("directory", type=Path)
     options = parser.parse_args(arguments)
--- a/src/tamarackrill/testing/edge.py
+++ b/src/tamarackrill/testing/edge.py
@@ -1,4 +1,4 @@
-"""A router of the platform's interface on loopback, with stand-ins around it."""
+"""Test fixture: routers for the platform interface, with stand-ins, on loopback."""
 
 import asyncio
 import json
@@ -17,24 +17,24 @@
 KEY = "the-key"
 TEAM = "the-team"
 PEER_KEYS = ("peer-key",)
-PATIENCE_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 POLL_S = 0.005
 BUDGET = BudgetTerms(ratio=0.2, window_s=10.0, fixed=56.0)
 
 
 class EdgeAnswer(NamedTuple):
-    """What a client received.
+    """Response as a client received it.
 
     Parameters
     ----------
     status : int
-        Status.
+        HTTP status.
     headers : dict of str to str
-        Headers, names in lower case.
+        Headers, with names in lower case.
     body : bytes
-        What came of the body.
+        The part of the body that arrived.
     is_whole : bool
-        Whether the body ended in order.
+        Whether the body arrived completely.
     """
 
     status: int
@@ -44,7 +44,7 @@
 
 
 def make_route(prefix: str, kind: str, **fields: Any) -> dict[str, Any]:
-    """Return a route of a manifest, in the platform's form."""
+    """Return a manifest route in the platform's format."""
     return {
         "name": f"r-{prefix.strip('/')}",
         "host": HOST,
@@ -63,7 +63,7 @@
 
 
 def make_manifest(version: int, *routes: dict[str, Any]) -> dict[str, Any]:
-    """Return a manifest with one team, in the platform's form."""
+    """Return a manifest with one team, in the platform's format."""
     return {
         "version": version,
         "routes": list(routes),
@@ -81,7 +81,7 @@
 
 
 class EdgeFleet:
-    """Store, workers and routers of one test; to be used with ``async with``."""
+    """Store, workers and routers of one test, as an async context manager."""
 
     def __init__(self) -> None:
         self.store = ObjectStore()
@@ -104,7 +104,7 @@
     async def add_worker(
         self, name: str, behave: Behave = answer_ok, **fields: Any
     ) -> Worker:
-        """Start a worker and list it."""
+        """Start a worker and register it in the store."""
         worker = Worker(name, behave)
         await worker.start()
         self.workers.append(worker)
@@ -119,9 +119,10 @@
         engine: dict[str, Any] | None = None,
         limits: dict[str, Any] | None = None,
     ) -> None:
-        """Write a manifest.
+        """Write a manifest to the store.
 
-        With `engine` its service is one of model engines; `limits` replaces some.
+        `engine` makes its service one of model engines; `limits` overrides the default
+        limits.
         """
         manifest = make_manifest(version, *routes)
         manifest["limits"] |= limits or {}
@@ -139,7 +140,7 @@
         return router
 
     def make_router(self, name: str, zone: str = "z") -> EdgeApplication:
-        """Return a router that has not been started."""
+        """Create a router without starting it."""
         seeds = tuple(
             f"127.0.0.1:{router.settings.peer_port}" for router in self.routers
         )
@@ -167,9 +168,9 @@
         Raises
         ------
         TimeoutError
-            If it does not within `PATIENCE_S`.
+            If it doesn't hold within `WAIT_TIMEOUT_S`.
         """
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not condition():
                 await asyncio.sleep(POLL_S)
 
@@ -182,7 +183,7 @@
     method: str = "POST",
     **headers: str,
 ) -> EdgeAnswer:
-    """Send a request as a client does, and return what it received."""
+    """Send a request on a new connection, and return the response."""
     client = await EdgeClient.connect(router)
     try:
         client.send(target, request_id, body, method, **headers)
@@ -192,7 +193,7 @@
 
 
 class EdgeClient:
-    """A client's connection; a header `X_Y` is sent as ``X-Y``."""
+    """A client connection; the keyword argument ``X_Y`` is sent as header ``X-Y``."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -202,7 +203,7 @@
 
     @classmethod
     async def connect(cls, router: EdgeApplication | str) -> "EdgeClient":
-        """Connect to a router, or to the address of one."""
+        """Connect to a router, given as an application or an address."""
         address = _find_address(router)
         host, _, port = address.rpartition(":")
         return cls(*await asyncio.open_connection(host, int(port)))
@@ -215,7 +216,7 @@
         method: str = "POST",
         **headers: str,
     ) -> None:
-        """Send a request."""
+        """Send a request, without waiting for the response."""
         fields = {
             "Host": HOST,
             "X-Request-Attempt-Id": request_id,
@@ -229,7 +230,7 @@
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def read(self) -> EdgeAnswer:
-        """Read one answer."""
+        """Read one response."""
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         line, *lines = head.rstrip("\r\n").split("\r\n")
         pairs = (text.partition(":") for text in lines)
@@ -262,5 +263,5 @@
 
 
 def read_reason(answer: EdgeAnswer) -> str:
-    """Return the reason of a refusal."""
+    """Return the reason given in an error response."""
     return str(json.loads(answer.body)["error"])
--- a/src/tamarackrill/testing/edge_demo.py
+++ b/src/tamarackrill/testing/edge_demo.py
@@ -1,4 +1,4 @@
-"""``make demo-platform``: the platform's interface, with stand-ins around it."""
+"""``make demo-platform``: routers for the platform interface, with stand-ins."""
 
 import asyncio
 
@@ -14,12 +14,12 @@
 
 
 def _show(title: str, answer: EdgeAnswer) -> None:
-    end = "" if answer.is_whole else " (cut)"
+    end = "" if answer.is_whole else " (truncated)"
     print(f"\n--- {title}: {answer.status}{end}\n{answer.body.decode()}", flush=True)
 
 
 async def run_demo() -> None:
-    """Start everything, ask four things and print what came."""
+    """Start everything, send four requests and print the responses."""
     async with EdgeFleet() as fleet:
         await fleet.put_manifest(1, *ROUTES)
         await fleet.add_worker("desk-1", answer_ok)
@@ -34,7 +34,7 @@
         _show(title, await ask(first, "/draft/menu", "id-3", b"sixty guests"))
         await fleet.put_manifest(2, *ROUTES[:2])
         await fleet.wait(lambda: _holds(second.view.routes, 2))
-        _show("a route that was taken away", await ask(second, "/draft/menu", "id-4"))
+        _show("a route that was removed", await ask(second, "/draft/menu", "id-4"))
 
 
 def _holds(routes: object, version: int) -> bool:
--- a/src/tamarackrill/testing/edge_processes.py
+++ b/src/tamarackrill/testing/edge_processes.py
@@ -1,4 +1,4 @@
-"""Routers of the platform's interface as processes of their own, on loopback."""
+"""Runs routers for the platform interface as separate processes on loopback."""
 
 import asyncio
 import os
@@ -11,14 +11,14 @@
 import yaml
 from tornado.httpclient import AsyncHTTPClient, HTTPClientError
 
-from tamarackrill.testing.edge import PATIENCE_S
+from tamarackrill.testing.edge import WAIT_TIMEOUT_S
 from tamarackrill.testing.ports import find_free_port
 
-ASK_EVERY_S = 0.05
+POLL_S = 0.05
 
 
 class RouterAddresses(NamedTuple):
-    """Where a router listens; it keeps them over restarts."""
+    """Addresses on which a router listens, unchanged across restarts."""
 
     callers: str
     readiness: str
@@ -29,14 +29,14 @@
 def choose_addresses(
     ip: str = "127.0.0.1", peer_port: int | None = None
 ) -> RouterAddresses:
-    """Return addresses of loopback that no other process is given.
+    """Return unused loopback addresses for a router.
 
     Parameters
     ----------
     ip : str, optional
-        Address of the VM.
+        IP address of the VM.
     peer_port : int, optional
-        Port for other routers; all of a fleet have the same one.
+        Port for other routers, the same in a whole fleet; a free one by default.
     """
     ports = [find_free_port() for _ in range(3)]
     if peer_port is None:
@@ -52,23 +52,23 @@
     Parameters
     ----------
     name, zone : str
-        The router and its availability zone.
+        Name of the router and its availability zone.
     store_address : str
-        ``host:port`` of the store, or of a proxy before it.
+        ``host:port`` of the store, or of a proxy in front of it.
     seeds : list of str
-        Addresses of other routers; their ports are this one's own peer port, since all
-        routers of a fleet have the same.
+        Addresses of other routers; they use the same peer port as this one, as all
+        routers of a fleet do.
     folder : Path
-        Gets the settings file and the log.
+        Folder for the settings file and the log.
     grace_s : int, optional
-        From SIGTERM to the end.
+        Time limit from SIGTERM to exit.
     addresses : RouterAddresses, optional
-        Where it listens; chosen by default.
+        Addresses on which it listens; unused ones by default.
 
     Attributes
     ----------
     peer_address : str
-        Where other routers reach it, if not where it listens.
+        Address advertised to other routers, if not the one on which it listens.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
         self.name = name
         self.addresses = addresses or choose_addresses()
         self.peer_address = ""
-        self._told: set[signal.Signals] = set()
+        self._sent_signals: set[signal.Signals] = set()
         self._starts = 0
         self.log_path = folder / f"{name}.log"
         self._settings_path = folder / f"{name}.yaml"
@@ -107,8 +107,8 @@
         self._settings_path.write_text(yaml.safe_dump(settings), encoding="utf-8")
 
     def start(self) -> None:
-        """Start the process; its log is appended to."""
-        self._told.clear()
+        """Start the process, appending to its log."""
+        self._sent_signals.clear()
         self._starts += 1
         with self.log_path.open("ab") as log:
             self._process = subprocess.Popen(
@@ -120,7 +120,7 @@
 
     @property
     def environment(self) -> dict[str, str]:
-        """Variables that the daemon reads."""
+        """Environment variables that the daemon reads."""
         return {
             "TAMARACKRILL_SETTINGS": str(self._settings_path),
             "TAMARACKRILL_PEER_KEYS": "key-of-tests",
@@ -130,88 +130,89 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process lives, stopped or not."""
+        """Whether the process exists, even if it is suspended by SIGSTOP."""
         return self._process is not None and self._process.poll() is None
 
     async def signal_listening(
         self, *numbers: signal.Signals, over_s: float = 0
     ) -> bool:
-        """Send signals to the process that runs now, once callers can connect to it.
+        """Send signals to the current process once clients can connect to it.
 
         Parameters
         ----------
         *numbers : signal.Signals
-            Sent in their order.
+            Signals, sent in this order.
         over_s : float, optional
-            Time over which they are spread.
+            Time over which the signals are spread.
 
         Returns
         -------
         bool
-            Whether all were sent, and the process has not been started anew meanwhile.
+            Whether all were sent; False if the process was restarted meanwhile.
         """
         starts = self._starts
         await self.wait_listening()
         for number in numbers:
             await asyncio.sleep(over_s / len(numbers))
-            # Until the interpreter runs the daemon, signals have their default effect.
+            # A restarted process has no signal handlers until the daemon installs them,
+            # so a signal would have its default effect.
             if self._starts != starts:
                 return False
             self.signal(number)
         return True
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it lives."""
+        """Send a signal to the process, if it is running."""
         if self._process is not None and self._process.poll() is None:
-            self._told.add(number)
+            self._sent_signals.add(number)
             self._process.send_signal(number)
 
-    def find_fault(self) -> str:
-        """Return how the process ended otherwise than it was told, "" if it did not."""
+    def describe_unexpected_exit(self) -> str:
+        """Describe an exit that no signal explains or a failed stop, else return ""."""
         code = None if self._process is None else self._process.poll()
-        if code is None or signal.SIGKILL in self._told:
+        if code is None or signal.SIGKILL in self._sent_signals:
             return ""
-        if signal.SIGTERM not in self._told:
-            return f"{self.name} ended by itself with {code}"
-        return f"{self.name} was told to stop and ended with {code}" if code else ""
+        if signal.SIGTERM not in self._sent_signals:
+            return f"{self.name} exited unexpectedly with code {code}"
+        return f"{self.name} exited with code {code} after SIGTERM" if code else ""
 
     async def wait_ended(self) -> int:
-        """Return the exit code once the process has ended."""
-        # Whoever else waits for it may start the next process meanwhile.
+        """Wait for the process to exit, and return its exit code."""
+        # Another task that waits for the exit may replace self._process meanwhile.
         process = self._process
         assert process is not None
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while (code := process.poll()) is None:
-                await asyncio.sleep(ASK_EVERY_S)
+                await asyncio.sleep(POLL_S)
         return code
 
     async def is_ready(self) -> bool:
-        """Return whether the balancer would send clients here."""
+        """Return whether the readiness check of the load balancer passes."""
         url = f"http://{self.addresses.readiness}/readiness"
         try:
             answer = await AsyncHTTPClient().fetch(
                 url, raise_error=False, request_timeout=1.0
             )
         except (OSError, HTTPClientError):
-            # Which one it is depends on the client that is configured in this process.
+            # The exception depends on the HTTP client that tornado is configured with.
             return False
         return bool(answer.code == 200)
 
     async def wait_listening(self) -> None:
-        """Wait until a caller could connect."""
+        """Wait until clients can connect."""
         host, _, port = self.addresses.callers.rpartition(":")
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while True:
                 try:
                     _, writer = await asyncio.open_connection(host, int(port))
                 except ConnectionRefusedError:
-                    await asyncio.sleep(ASK_EVERY_S)
+                    await asyncio.sleep(POLL_S)
                     continue
                 writer.close()
                 return
 
     async def read_metric(self, name: str) -> float | None:
-        """Return a gauge without a label, None if it isn't there."""
+        """Return a gauge with an empty label, None if it isn't available."""
         url = f"http://{self.addresses.metrics}/metrics"
         try:
             answer = await AsyncHTTPClient().fetch(url, request_timeout=1.0)
@@ -225,20 +226,20 @@
 
     async def wait_ready(self) -> None:
         """Wait until the router is ready."""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while not await self.is_ready():
-                await asyncio.sleep(ASK_EVERY_S)
+                await asyncio.sleep(POLL_S)
 
     async def wait_logged(self, text: str) -> None:
-        """Wait until the log holds a text."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Wait until the log contains a text."""
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while text not in self.log_path.read_text():
-                await asyncio.sleep(ASK_EVERY_S)
+                await asyncio.sleep(POLL_S)
 
     def kill(self) -> None:
-        """End the process at once, and wait for its end."""
+        """Kill the process and wait for its exit."""
         if self._process is not None:
             self.signal(signal.SIGCONT)
-            self._told.add(signal.SIGKILL)
+            self._sent_signals.add(signal.SIGKILL)
             self._process.kill()
             self._process.wait()
--- a/src/tamarackrill/testing/held_process.py
+++ b/src/tamarackrill/testing/held_process.py
@@ -1,4 +1,4 @@
-"""A daemon's process that is held at one step of its start, for tests of that step."""
+"""Starts a daemon and pauses it at a given import, to test signals during startup."""
 
 import asyncio
 import os
@@ -8,13 +8,14 @@
 from collections.abc import Mapping, Sequence
 from pathlib import Path
 
-from tamarackrill.testing.processes import PATIENCE_S
+from tamarackrill.testing.processes import WAIT_TIMEOUT_S
 
 STEP_VARIABLE = "HELD_STEP"
 DESCRIPTORS_VARIABLE = "HELD_DESCRIPTORS"
-# Python asks each finder before it loads a module, so that one that waits holds the
-# process right there; signals are handled while it waits.
-HOLDING = f"""
+# Launcher script of the paused process.  Python calls each finder on sys.meta_path
+# before it loads a module, so a finder that blocks pauses the process at that import.
+# Signals are still handled while it blocks.
+LAUNCHER = f"""
 import os, runpy, sys
 
 step = os.environ.pop({STEP_VARIABLE!r})
@@ -38,21 +39,21 @@
 """
 
 
-class HeldProcess:
-    """One process of a daemon.
+class PausedProcess:
+    """A daemon process that pauses before it imports a given module.
 
     Parameters
     ----------
     module : str
-        The daemon's.
+        Module of the daemon.
     arguments : sequence of str
-        Its command line.
+        Command-line arguments.
     environment : mapping of str to str
-        Added to that of this process.
+        Variables added to the environment of this process.
     step : str
-        Module before whose import it is held.
+        Module before whose import the process pauses.
     log_path : Path
-        Gets its output.
+        File for standard output and standard error.
     """
 
     def __init__(
@@ -66,14 +67,14 @@
         self.log_path = log_path
         self._held, told = os.pipe()
         released, self._release = os.pipe()
-        holding = {
+        variables = {
             STEP_VARIABLE: step,
             DESCRIPTORS_VARIABLE: f"{told},{released}",
         }
         with log_path.open("wb") as log:
             self._process = subprocess.Popen(
-                [sys.executable, "-c", HOLDING, module, *arguments],
-                env={**os.environ, **environment, **holding},
+                [sys.executable, "-c", LAUNCHER, module, *arguments],
+                env={**os.environ, **environment, **variables},
                 stdout=log,
                 stderr=subprocess.STDOUT,
                 pass_fds=(told, released),
@@ -81,44 +82,54 @@
         os.close(told)
         os.close(released)
 
-    async def wait_held(self) -> None:
-        """Wait until the process has come to its step.
+    async def wait_paused(self) -> None:
+        """Wait until the process has paused.
 
         Raises
         ------
         RuntimeError
-            If it ends before; shows its output.
+            If the process exits first; the message contains its output.
         """
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             if not await asyncio.to_thread(os.read, self._held, 1):
-                raise RuntimeError(f"ended too soon:\n{self.log_path.read_text()}")
+                raise RuntimeError(
+                    f"process exited before it paused:\n{self.log_path.read_text()}"
+                )
 
     def release(self) -> None:
-        """Let the process go on; one that has ended meanwhile is passed over."""
+        """Resume the process; does nothing if it has exited meanwhile."""
         try:
             os.write(self._release, b"r")
         except BrokenPipeError:
             return
 
     def signal(self, *numbers: signal.Signals) -> None:
-        """Send signals, one after the other."""
+        """Send signals in the given order."""
         for number in numbers:
             self._process.send_signal(number)
 
     async def wait_logged(self, text: str) -> None:
-        """Wait until the process has written a text, or has ended."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Wait until the output of the process contains a text.
+
+        Raises
+        ------
+        RuntimeError
+            If the process exits first; the message contains its output.
+        """
+        async with asyncio.timeout(WAIT_TIMEOUT_S):
             while text not in self.log_path.read_text():
                 if self._process.poll() is not None:
-                    raise RuntimeError(f"ended first:\n{self.log_path.read_text()}")
+                    raise RuntimeError(
+                        f"process exited first:\n{self.log_path.read_text()}"
+                    )
                 await asyncio.sleep(0.01)
 
     async def wait_ended(self) -> int:
-        """Return the exit code once the process has ended."""
-        return await asyncio.to_thread(self._process.wait, PATIENCE_S)
+        """Wait for the process to exit, and return its exit code."""
+        return await asyncio.to_thread(self._process.wait, WAIT_TIMEOUT_S)
 
     def close(self) -> None:
-        """End the process if it still runs, and let its pipes go."""
+        """Kill the process if it still runs, and close its pipes."""
         if self._process.poll() is None:
             self._process.kill()
             self._process.wait()
--- a/src/tamarackrill/testing/processes.py
+++ b/src/tamarackrill/testing/processes.py
@@ -1,7 +1,7 @@
 """Runs routers and stand-ins as separate processes, for tests and benchmarks.
 
-Every wait is on an event: a line that a process prints, an answer, or a condition
-that is asked for again.  `PATIENCE_S` only bounds how long a broken test hangs.
+All waits are for an event: a line that a process prints, a response, or a condition
+that is polled.  `WAIT_TIMEOUT_S` only bounds how long a broken test hangs.
 """
 
 import json
@@ -16,20 +16,20 @@
 from collections.abc import Callable, Collection, Mapping
 from typing import Any, NamedTuple
 
-PATIENCE_S = 30.0
+WAIT_TIMEOUT_S = 30.0
 POLL_S = 0.02
 PEER_KEY = "a key of the tests, shared by all routers"
 
 
 class Answer(NamedTuple):
-    """Status, headers and body of one HTTP answer."""
+    """Status, headers and body of an HTTP response."""
 
     status: int
     headers: dict[str, str]
     body: bytes
 
     def json(self) -> Any:
-        """Return the body as JSON."""
+        """Return the body, parsed as JSON."""
         return json.loads(self.body)
 
 
@@ -39,22 +39,22 @@
     body: Any = None,
     method: str | None = None,
     headers: Mapping[str, str] | None = None,
-    timeout_s: float = PATIENCE_S,
+    timeout_s: float = WAIT_TIMEOUT_S,
 ) -> Answer:
-    """Make one HTTP call and return its answer, whatever the status.
+    """Send an HTTP request and return the response, whatever its status.
 
     Parameters
     ----------
     address, path : str
-        Where to.
+        ``host:port`` and path of the URL.
     body : object, optional
         Sent as JSON; bytes are sent as they are.
     method : str, optional
-        Default: POST with a body, GET without.
+        HTTP method; POST with a body and GET without one by default.
     headers : mapping, optional
-        Headers of the call.
-    timeout_s : float, default=PATIENCE_S
-        For each read of the connection.
+        Request headers.
+    timeout_s : float, default=WAIT_TIMEOUT_S
+        Timeout of each read from the connection.
 
     Returns
     -------
@@ -63,7 +63,7 @@
     Raises
     ------
     OSError
-        If the connection failed or the answer was cut.
+        If the connection failed or the response was truncated.
     """
     data = body if body is None or isinstance(body, bytes) else json.dumps(body)
     request = urllib.request.Request(
@@ -80,29 +80,29 @@
 
 
 def wait_for(condition: Callable[[], Any], what: str) -> Any:
-    """Ask again until the condition holds, and return what it gave.
+    """Poll until the condition returns a true value, and return that value.
 
     Raises
     ------
     TimeoutError
-        If it does not hold within `PATIENCE_S`.
+        If it returns none within `WAIT_TIMEOUT_S`.
     """
-    end_s = time.monotonic() + PATIENCE_S
+    end_s = time.monotonic() + WAIT_TIMEOUT_S
     while time.monotonic() < end_s:
         found = condition()
         if found:
             return found
         time.sleep(POLL_S)
-    raise TimeoutError(f"did not come about: {what}")
+    raise TimeoutError(f"timed out waiting for: {what}")
 
 
 class Process:
-    """One child process, whose lines are read as they come.
+    """A child process whose output is read by a background thread.
 
     Parameters
     ----------
     arguments : list of str
-        Module and arguments for this Python.
+        Module to run with this Python interpreter, and its arguments.
     """
 
     def __init__(self, arguments: list[str]) -> None:
@@ -119,7 +119,7 @@
 
     @property
     def pid(self) -> int:
-        """Number of the process."""
+        """Process id."""
         return self._process.pid
 
     def _read(self) -> None:
@@ -128,18 +128,18 @@
             self.lines.append(line.rstrip("\n"))
 
     def find_line(self, text: str) -> str:
-        """Return the first line that contains a text, or an empty one."""
+        """Return the first output line that contains a text, or ""."""
         return next((line for line in list(self.lines) if text in line), "")
 
     def wait_line(self, text: str) -> str:
-        """Return the first line that contains a text, once there is one."""
+        """Wait for an output line that contains a text, and return the first."""
 
         def find() -> str:
             if self._process.poll() is not None:
                 self._reader.join()
                 found = self.find_line(text)
                 if not found:
-                    raise RuntimeError("process ended:\n" + "\n".join(self.lines))
+                    raise RuntimeError("process exited:\n" + "\n".join(self.lines))
             return self.find_line(text)
 
         return str(wait_for(find, f"a line with {text!r}"))
@@ -149,20 +149,20 @@
         self._process.send_signal(number)
 
     def kill(self) -> None:
-        """End the process without warning."""
+        """Kill the process and wait for its exit."""
         self._process.kill()
         self._process.wait()
 
     def wait(self) -> int:
-        """Return the exit code once the process has ended."""
-        return self._process.wait(PATIENCE_S)
+        """Wait for the process to exit, and return its exit code."""
+        return self._process.wait(WAIT_TIMEOUT_S)
 
     def is_ended(self) -> bool:
-        """Return whether the process has ended."""
+        """Return whether the process has exited."""
         return self._process.poll() is not None
 
     def close(self) -> None:
-        """End the process if it still runs, and let its pipe go."""
+        """Kill the process if it still runs, and close its pipe."""
         if self._process.poll() is None:
             self.kill()
         self._reader.join()
@@ -171,14 +171,14 @@
 
 
 class StandIn(Process):
-    """A stand-in as a process.
+    """A stand-in that runs as a separate process.
 
     Parameters
     ----------
     what : {"platform", "engine", "service"}
-        Which one.
+        Kind of stand-in.
     *arguments : str
-        Further flags.
+        Further command-line flags.
     """
 
     def __init__(self, what: str, *arguments: str) -> None:
@@ -186,16 +186,16 @@
         self.address = self.wait_line("listening ").split()[-1]
 
     def look(self, what: str = "state") -> Any:
-        """Return the state or the counts of the stand-in."""
+        """Return the state or the counters of the stand-in."""
         return call(self.address, f"/admin/{what}").json()
 
     def set_faults(self, **faults: Any) -> None:
-        """Replace the faults; those not named are lifted."""
+        """Replace the injected faults; faults not named are removed."""
         call(self.address, "/admin/faults", faults, "PUT")
 
 
 class RouterProcess(Process):
-    """`tamarackrilld` as a process."""
+    """A router daemon, `tamarackrilld`, that runs as a separate process."""
 
     def __init__(self, name: str, zone: str, platform: str, *arguments: str) -> None:
         self.name = name
@@ -216,7 +216,7 @@
         self.address = self.read_field("router_started", "address")
 
     def read_field(self, event: str, field: str) -> str:
-        """Return a field of the first log line of an event."""
+        """Wait for the first log line of an event, and return one of its fields."""
         words = self.wait_line(f" {event} ").split()
         pairs = dict(word.split("=", 1) for word in words if "=" in word)
         return pairs[field]
@@ -227,9 +227,9 @@
 
 
 class FleetProcesses:
-    """A platform, routers and endpoints, each its own process.
+    """A platform, routers and endpoints, each in a separate process.
 
-    Use it as a context manager: leaving it ends every process that it started.
+    Use it as a context manager; on exit it ends every process that it started.
     """
 
     def __init__(self) -> None:
@@ -246,11 +246,11 @@
             process.close()
 
     def add_engine(self, name: str, model: str = "m", *arguments: str) -> StandIn:
-        """Start an engine that announces itself."""
+        """Start an engine, which registers itself on the platform."""
         return self._add_endpoint("engine", name, model, arguments)
 
     def add_service(self, name: str, service: str = "s", *arguments: str) -> StandIn:
-        """Start a worker of a service that announces itself."""
+        """Start a worker of a service, which registers itself on the platform."""
         return self._add_endpoint("service", name, service, arguments)
 
     def _add_endpoint(
@@ -265,7 +265,7 @@
     def add_router(
         self, name: str, zone: str = "zone-a", *arguments: str
     ) -> RouterProcess:
-        """Start a router and put it on the VM list."""
+        """Start a router and add it to the VM list."""
         router = RouterProcess(name, zone, self.platform.address, *arguments)
         self._started.append(router)
         self.routers[name] = router
@@ -273,7 +273,7 @@
         return router
 
     def publish_vms(self, leaving: Collection[str] = ()) -> None:
-        """Put the VM list on the platform: the routers, and VMs that are leaving."""
+        """Write the VM list to the platform: all routers, and the VMs in `leaving`."""
         vms = [
             {
                 "name": router.name,
@@ -289,12 +289,12 @@
         call(self.platform.address, "/admin/vms", {"vms": vms}, "PUT")
 
     def put_contract(self, value: dict[str, Any]) -> int:
-        """Write a contract, over whatever version stands there."""
+        """Write a contract, replacing any existing version, and return its version."""
         path = f"/v1/objects/contract/{value['team']}"
         return int(call(self.platform.address, path, value, "PUT").json()["version"])
 
     def wait_ready(self, members: int | None = None) -> None:
-        """Return when every router has the newest configuration and members."""
+        """Wait until all routers have the same configuration and see all members."""
         wanted = members or len(self.routers)
 
         def is_ready() -> bool:
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""Signals at each step of a daemon's life, as its callers see it."""
+"""Signals to a daemon during startup, serving and shutdown, as clients see them."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 from tamarackrill.testing.daemon import listen
 from tamarackrill.testing.edge import EdgeClient, EdgeFleet, make_route
 from tamarackrill.testing.edge_processes import EdgeProcess
-from tamarackrill.testing.held_process import HeldProcess
+from tamarackrill.testing.held_process import PausedProcess
 from tamarackrill.testing.platform import PlatformState, make_platform
 from tamarackrill.testing.ports import find_free_port
 from tamarackrill.testing.processes import FleetProcesses, wait_for
@@ -18,18 +18,18 @@
 
 LOOKUP = make_route("/lookup/", "idempotent")
 HUP, TERM = signal.SIGHUP, signal.SIGTERM
-# Modules in the order in which they are loaded.
+# Modules in import order.
 BEFORE_LISTENING = ("tamarackrill.exceptions", "json", "socket")
 WHILE_LOADING = ("asyncio", "absl", "tornado", "pycurl", "tamarackrill.router.edge_app")
 
 
 @contextlib.asynccontextmanager
-async def start_held(step, folder):
+async def start_paused(step, folder):
     async with EdgeFleet() as fleet:
         await fleet.put_manifest(1, LOOKUP)
         await fleet.add_worker("w1")
         router = EdgeProcess("router", "z", fleet.store_address, [], folder)
-        process = HeldProcess(
+        process = PausedProcess(
             "tamarackrill.router.edge_daemon",
             [],
             router.environment,
@@ -37,7 +37,7 @@
             folder / "held.log",
         )
         try:
-            await process.wait_held()
+            await process.wait_paused()
             yield router.addresses.callers, process
         finally:
             process.close()
@@ -49,7 +49,7 @@
     return client
 
 
-def is_true_answer(answer):
+def is_valid_answer(answer):
     if answer.status == 503:
         return answer.is_whole and float(answer.headers["retry-after"]) > 0
     return answer.is_whole and answer.status == 200
@@ -57,12 +57,12 @@
 
 @pytest.mark.parametrize("step", WHILE_LOADING)
 @pytest.mark.parametrize("signals", [(HUP,), (HUP, HUP, HUP)])
-def test_router_told_to_reload_while_it_starts_serves_who_has_connected(
+def test_router_reloaded_during_startup_serves_connected_clients(
     step, signals, tmp_path
 ):
-    # Guards against SIGHUP ending a router under its first callers.
+    # Guards against SIGHUP ending a router that already has client connections.
     async def act():
-        async with start_held(step, tmp_path) as (address, process):
+        async with start_paused(step, tmp_path) as (address, process):
             client = await ask(address)
             process.signal(*signals)
             process.release()
@@ -72,19 +72,19 @@
             return answer, await process.wait_ended()
 
     answer, code = asyncio.run(act())
-    assert is_true_answer(answer)
+    assert is_valid_answer(answer)
     assert code == 0
 
 
 @pytest.mark.parametrize("step", WHILE_LOADING)
 @pytest.mark.parametrize("signals", [(TERM,), (HUP, TERM, TERM), (TERM, HUP)])
-def test_router_told_to_stop_while_it_starts_answers_who_has_connected(
+def test_router_stopped_during_startup_answers_connected_clients(
     step, signals, tmp_path
 ):
-    # Guards against callers whose connections are reset by a router that ends without
-    # having told them that nothing has run.
+    # Guards against a router that exits during startup and resets connections, so that
+    # clients don't learn that nothing has run.
     async def act():
-        async with start_held(step, tmp_path) as (address, process):
+        async with start_paused(step, tmp_path) as (address, process):
             client = await ask(address)
             process.signal(*signals)
             process.release()
@@ -93,16 +93,16 @@
             return answer, await process.wait_ended()
 
     answer, code = asyncio.run(act())
-    assert is_true_answer(answer)
+    assert is_valid_answer(answer)
     assert answer.headers["connection"] == "close"
     assert code == 0
 
 
 @pytest.mark.parametrize("step", BEFORE_LISTENING)
-def test_router_told_to_stop_before_it_listens_ends_as_stopped(step, tmp_path):
-    # Guards against a stop that looks like a failure, and so is answered by a restart.
+def test_router_stopped_before_it_listens_exits_with_success(step, tmp_path):
+    # Guards against a stop with a failure exit code, which leads to a restart.
     async def act():
-        async with start_held(step, tmp_path) as (_, process):
+        async with start_paused(step, tmp_path) as (_, process):
             process.signal(HUP, TERM)
             process.release()
             return await process.wait_ended()
@@ -111,15 +111,15 @@
 
 
 @pytest.mark.parametrize("signals", [(HUP,), (TERM,), (HUP, TERM, HUP, TERM)])
-def test_router_that_leaves_finishes_its_work_whatever_signals_come(signals, tmp_path):
-    # Guards against a second signal that cuts what the first one lets end.
+def test_draining_router_finishes_requests_despite_further_signals(signals, tmp_path):
+    # Guards against a further signal that aborts requests being drained.
     async def act():
         async with EdgeFleet() as fleet:
             await fleet.put_manifest(1, LOOKUP)
-            came, may_answer = asyncio.Event(), asyncio.Event()
+            arrived, may_answer = asyncio.Event(), asyncio.Event()
 
             async def answer_late(request, writer):
-                came.set()
+                arrived.set()
                 await may_answer.wait()
                 await answer_ok(request, writer)
 
@@ -129,7 +129,7 @@
             try:
                 await router.wait_ready()
                 client = await ask(router.addresses.callers)
-                await came.wait()
+                await arrived.wait()
                 router.signal(TERM)
                 await router.wait_logged('"router_leaving"')
                 for number in signals:
@@ -164,13 +164,13 @@
 
 
 @contextlib.asynccontextmanager
-async def start_held_native(step, folder):
+async def start_paused_native(step, folder):
     state = PlatformState()
     server, platform = listen(make_platform(state))
     await state.write("contract", "t", NATIVE_CONTRACT)
     flags = ["--name=a", "--zone=z", f"--platform={platform}", "--log-format=json"]
     flags += [f"--port={find_free_port()}", "--peer-port=0"]
-    process = HeldProcess(
+    process = PausedProcess(
         "tamarackrill.router.daemon",
         flags,
         {"TAMARACKRILL_PEER_KEYS": "a key that is long enough"},
@@ -178,7 +178,7 @@
         folder / "held.log",
     )
     try:
-        await process.wait_held()
+        await process.wait_paused()
         yield flags[4].removeprefix("--port="), process
     finally:
         process.close()
@@ -195,10 +195,10 @@
 
 
 @pytest.mark.parametrize("step", NATIVE_STEPS)
-def test_native_router_runs_on_whatever_reloads_it_is_told(step, tmp_path):
-    # Guards against SIGHUP ending the product's own daemon, at its start or later.
+def test_native_router_keeps_running_on_reload_signals(step, tmp_path):
+    # Guards against SIGHUP ending the native daemon, during startup or later.
     async def act():
-        async with start_held_native(step, tmp_path) as (port, process):
+        async with start_paused_native(step, tmp_path) as (port, process):
             process.signal(HUP, HUP)
             process.release()
             await process.wait_logged('"router_reload"')
@@ -215,12 +215,12 @@
 
 @pytest.mark.parametrize("step", NATIVE_STEPS)
 @pytest.mark.parametrize("signals", [(TERM,), (HUP, TERM, TERM), (TERM, HUP)])
-def test_native_router_told_to_stop_while_it_starts_ends_as_stopped(
+def test_native_router_stopped_during_startup_exits_with_success(
     step, signals, tmp_path
 ):
-    # Guards against a stop that looks like a failure, and so is answered by a restart.
+    # Guards against a stop with a failure exit code, which leads to a restart.
     async def act():
-        async with start_held_native(step, tmp_path) as (_, process):
+        async with start_paused_native(step, tmp_path) as (_, process):
             process.signal(*signals)
             process.release()
             return await process.wait_ended()
@@ -228,23 +228,24 @@
     assert asyncio.run(act()) == 0
 
 
-def knows(router, version):
+def has_configuration(router, version):
     status = router.status()
     return status["complete"]["contract"] >= version and status["endpoints"]
 
 
 @pytest.mark.parametrize("signals", [(HUP,), (TERM,), (HUP, TERM, HUP, TERM)])
-def test_native_router_that_leaves_answers_its_caller_whatever_signals_come(
-    signals, tmp_path
-):
-    # Guards against a second signal that ends a router under the call that it finishes.
+def test_draining_native_router_answers_despite_further_signals(signals, tmp_path):
+    # Guards against a further signal that ends a router while it drains a request.
     async def act():
         with FleetProcesses() as fleet:
             service = fleet.add_service("s1")
             service.set_faults(hold=True)
             router = fleet.add_router("a")
             version = fleet.put_contract(NATIVE_CONTRACT)
-            wait_for(lambda: knows(router, version), "contract and worker are known")
+            wait_for(
+                lambda: has_configuration(router, version),
+                "contract and worker are known",
+            )
             host, _, port = router.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(NATIVE_REQUEST)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,27 +1,29 @@
-"""A short run of the soak, and the seeds that once failed."""
+"""Short soak test runs, including seeds that once failed."""
 
 import pytest
 from soak import native
-from soak.run import THREE_ZONES, TWO_ZONES, play_seed
+from soak.run import THREE_ZONES, TWO_ZONES, run_seed
 
 
-# Seeds 3 and 5: a worker crashed in the middle of its first event, and the half event
-# was joined to the next worker's stream.
+# Regression seeds 3 and 5: a worker crashed in the middle of its first event, and the
+# partial event was joined to the next worker's stream.
 @pytest.mark.parametrize("seed", [1, 2, 3, 5])
-def test_promises_hold_while_routers_and_paths_fail(seed, tmp_path):
-    # Routers are killed, stopped and paused, paths delayed, silenced and cut, workers
-    # lose answers, and all of it overlaps.  A client must never get another's answer, a
-    # request that may not repeat must never run twice, and a promise must be true.
-    assert play_seed(seed, tmp_path) == []
+def test_guarantees_hold_while_routers_and_paths_fail(seed, tmp_path):
+    # Routers are killed, stopped and paused, network paths delayed, silenced and reset,
+    # and workers drop responses, with overlaps.  Guards against a client that gets
+    # another's response, a non-idempotent request that runs twice, and a response that
+    # says that nothing ran although it did.
+    assert run_seed(seed, tmp_path) == []
 
 
-@pytest.mark.parametrize(("seed", "shape"), [(1, TWO_ZONES), (2, THREE_ZONES)])
-def test_promises_hold_while_zones_are_cut_and_routers_signalled_at_their_start(
-    seed, shape, tmp_path
+@pytest.mark.parametrize(("seed", "topology"), [(1, TWO_ZONES), (2, THREE_ZONES)])
+def test_guarantees_hold_while_zones_are_partitioned_and_starting_routers_signalled(
+    seed, topology, tmp_path
 ):
-    # Guards against routers that end untold, and news that a harmed network keeps.
-    assert play_seed(seed, tmp_path, shape) == []
+    # Guards against routers that exit unexpectedly, and against routers that don't get
+    # a new manifest after network faults.
+    assert run_seed(seed, tmp_path, topology) == []
 
 
-def test_native_routers_keep_their_promises_while_they_come_and_go():
-    assert native.play_seed(1) == []
+def test_native_routers_keep_guarantees_while_they_come_and_go():
+    assert native.run_seed(1) == []
