--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions; ``python tests/test_golden.py`` writes them anew."""
+"""Golden files of sessions; ``python tests/test_golden.py`` regenerates them."""
 
 import re
 import signal
@@ -26,10 +26,10 @@
 
 
 class Session:
-    """Callers of two routers; writes down what each was told.
+    """Sends requests through two routers, and records the responses.
 
-    Retry-After is spread over callers and the worker of a call is free to differ, so
-    these two are written as N.
+    The retry time has jitter and the number of endpoints may differ between runs, so
+    both are recorded as N.
     """
 
     def __init__(self, fleet):
@@ -46,7 +46,7 @@
         for router in self.fleet.routers.values():
             router.wait_line(f" kind=contract object=t version={version} ")
 
-    def note(self, title, value):
+    def record(self, title, value):
         self.lines.append(f"# {title}\n{value}\n")
 
     def ask(self, title, router, path, body=None, **headers):
@@ -55,7 +55,7 @@
         answer = call(address, path, body, headers={**KEY, **names})
         text = re.sub(r'("retry_after_s": )[0-9.]+', r"\1N", answer.body.decode())
         text = re.sub(r"[0-9]+ endpoints", "N endpoints", text)
-        self.note(f"{title}, through {router}", f"{answer.status}\n{text}")
+        self.record(f"{title}, through {router}", f"{answer.status}\n{text}")
         return answer
 
     def chat(self, title, router, text, stream=False, **headers):
@@ -101,13 +101,13 @@
     wait_for(is_taken, "the caller comes back until it is confirmed")
     session.confirm("and sent again", "b", 3, Idempotency_Key="q-3")
     arrivals = session.worker.look()["arrivals"]
-    session.note("arrivals at the worker", {k: arrivals[k] for k in ("q-1", "q-3")})
+    session.record("arrivals at the worker", {k: arrivals[k] for k in ("q-1", "q-3")})
 
 
 def play_order(session):
     for number in (1, 2):
-        place = {"Chat_Id": "c", "Chat_Sequence": str(number)}
-        session.chat("in order", "ab"[number % 2], f"n {number}", **place)
+        position = {"Chat_Id": "c", "Chat_Sequence": str(number)}
+        session.chat("in order", "ab"[number % 2], f"n {number}", **position)
     session.chat("a place that is taken", "a", "other", Chat_Id="c", Chat_Sequence="2")
     session.chat("a place that has passed", "b", "old", Chat_Id="c", Chat_Sequence="1")
     session.chat("a place far ahead", "a", "far", Chat_Id="c", Chat_Sequence="9999")
@@ -120,7 +120,7 @@
     session.chat("sent again", "b", text, Chat_Id="c")
     session.chat("another request of the team", "a", "a plain pattern")
     ended = sum(engine.is_ended() for engine in session.engines)
-    session.note("engines lost", ended)
+    session.record("engines lost", ended)
 
 
 def play_limits(session):
@@ -162,7 +162,8 @@
 
 @pytest.mark.parametrize("name", list(SESSIONS))
 def test_session_is_the_golden_one(name):
-    # A whole session over separate processes, with what each caller was told.
+    # Guards against unintended changes of what callers receive over a whole session.
+    # Routers and stand-ins run as separate processes.
     assert play(name) == (GOLDEN / f"{name}.txt").read_text()
 
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -51,7 +51,7 @@
     ]
 
 
-def _play(router):
+def render_session(router):
     lines = []
     for title, path, body, headers in _requests():
         answer = call(router.address, path, body, headers=headers)
@@ -63,14 +63,15 @@
 
 
 @pytest.mark.parametrize("name", ["router-1", "router-2"])
-def test_whole_session_is_the_golden_one(fleet, name):
-    # Two routers, an engine, a service and a platform, each its own process; a
-    # caller gets the same answers from either router, whichever is a chat's home.
-    played = _play(fleet.routers[name])
+def test_session_matches_golden_file(fleet, name):
+    # Two routers, an engine, a service and a platform run as separate processes.
+    # Guards against responses that depend on which router the caller uses, whichever
+    # router owns the chat.
+    played = render_session(fleet.routers[name])
     assert played == (GOLDEN / "session.txt").read_text()
 
 
-def test_each_placement_is_logged_without_text_of_the_caller(fleet):
+def test_routing_log_contains_neither_api_key_nor_prompt(fleet):
     call(fleet.routers["router-1"].address, *_requests()[0][1:3], headers=KEY)
     fleet.routers["router-1"].wait_line(" request_routed team=t ")
     log = json.dumps([router.lines for router in fleet.routers.values()])
@@ -85,4 +86,4 @@
         started.put_contract(CONTRACT)
         started.add_router("router-1")
         started.wait_ready()
-        (GOLDEN / "session.txt").write_text(_play(started.routers["router-1"]))
+        (GOLDEN / "session.txt").write_text(render_session(started.routers["router-1"]))
