--- a/soak/run.py
+++ b/soak/run.py
@@ -34,7 +34,7 @@
 WORKERS = 3
 CALLERS = 8
 # Maximum number of seed routers in the settings of each router.
-SEEDS = 3
+SEED_ROUTERS_MAX = 3
 FAULTS_S = 8.0
 RECOVERY_S = 4.0
 FAULT_PAUSE_S = 0.7
@@ -135,7 +135,10 @@
         await proxy.start()
         self._store_proxies.append(proxy)
         name = f"router-{number}"
-        seeds = [r.peer_address or r.addresses.peers for r in self._routers[:SEEDS]]
+        seeds = [
+            r.peer_address or r.addresses.peers
+            for r in self._routers[:SEED_ROUTERS_MAX]
+        ]
         # All VMs of a fleet use the same ports, so each router needs its own IP.
         addresses = choose_addresses(f"127.0.1.{number + 1}", peer_port)
         router = EdgeProcess(
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -28,8 +28,8 @@
 class Session:
     """Sends requests through two routers, and records the responses.
 
-    The retry time has jitter and the number of endpoints may differ between runs, so
-    both are recorded as N.
+    The retry time has jitter and the worker that serves a call may differ, so the retry
+    time and the number of endpoints are recorded as N.
     """
 
     def __init__(self, fleet):
