--- a/soak/run.py
+++ b/soak/run.py
@@ -318,7 +318,7 @@
             return
         self.faults.append(f"store {kind}")
         if kind == "history":
-            await fleet.store.forget_history()
+            await fleet.store.compact_history()
             return
         fleet.store.status = 503
         await asyncio.sleep(self._rng.random() * PAUSE_MAX_S)
