--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -47,7 +47,7 @@
         store = ConfigurationStore()
         for number in range(objects):
             value = {"team": f"t{number}", "key_hashes": [hash_key(f"k{number}")]}
-            store.take("contract", f"t{number}", number + 1, value)
+            store.apply_version("contract", f"t{number}", number + 1, value)
         return store
 
     return float(count_bytes(make))
